--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -1,4 +1,4 @@
-"""Check that an absence of the store is told from that of a gateway's own way to it."""
+"""Check that a store outage is distinguished from a broken connection of one gateway to it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def _make_contact(clock: ManualClock) -> StoreContact:
-    """Return one that has heard the store for a long time."""
+    """Return a contact that the store has answered for 10 s."""
     contact = StoreContact(clock, ABSENCE_S)
     for _ in range(10):
         contact.note_answered()
@@ -24,21 +24,21 @@
 @pytest.mark.parametrize(
     ("silence_s", "may_have_lapsed"), [(ABSENCE_S - 0.01, False), (ABSENCE_S + 0.01, True)]
 )
-def test_only_a_long_silence_may_let_entries_lapse(silence_s: float, may_have_lapsed: bool) -> None:
+def test_only_a_long_outage_may_let_entries_lapse(silence_s: float, may_have_lapsed: bool) -> None:
     clock = ManualClock()
     contact = _make_contact(clock)
     clock.now_s += silence_s
     assert contact.may_have_lapsed() is may_have_lapsed
     contact.note_answered()
     assert contact.may_have_lapsed() is may_have_lapsed
-    # The grace counts from the store's return, and each answer since is no new one.
+    # The grace counts from the end of the outage; later answers do not extend it.
     for _ in range(4):
         clock.now_s += LAPSE_GRACE_S / 4 + 0.001
         contact.note_answered()
     assert not contact.may_have_lapsed()
 
 
-def test_another_gateway_that_heard_the_store_all_the_time_refutes_an_absence() -> None:
+def test_peer_with_uninterrupted_contact_refutes_outage() -> None:
     clock = ManualClock()
     contact = _make_contact(clock)
     refuted = []
@@ -52,7 +52,7 @@
     assert refuted == [clock.now_s]
 
 
-def test_who_hears_of_answers_to_others_notes_no_absence_at_all() -> None:
+def test_answers_to_peers_prevent_recording_an_outage() -> None:
     clock = ManualClock()
     contact = _make_contact(clock)
     for _ in range(20):
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("answer_age_s", [ABSENCE_S + 0.1, float("inf")])
-def test_a_gateway_that_has_not_heard_the_store_for_long_refutes_nothing(
+def test_peer_cut_off_from_store_refutes_nothing(
     answer_age_s: float,
 ) -> None:
     clock = ManualClock()
@@ -75,7 +75,7 @@
     assert contact.may_have_lapsed()
 
 
-def test_a_gateway_that_has_just_started_knows_of_no_time_before() -> None:
+def test_new_gateway_vouches_for_no_time_before_its_start() -> None:
     clock = ManualClock()
     contact = StoreContact(clock, ABSENCE_S)
     assert contact.unbroken_s() == 0.0
@@ -83,7 +83,7 @@
     assert not contact.may_have_lapsed()
     clock.now_s += 1.0
     assert contact.unbroken_s() == 1.0
-    # Another one that has just been cut off must not take it for a proof of what was before.
+    # A peer must not take the short record of a new gateway as proof that there was no outage.
     other = _make_contact(clock)
     clock.now_s += 5.0
     other.note_answered()
@@ -91,7 +91,7 @@
     assert other.may_have_lapsed()
 
 
-def test_what_gateways_tell_each_other_does_not_grow() -> None:
+def test_reported_uptime_does_not_grow_between_gateways() -> None:
     clock = ManualClock()
     first, second = StoreContact(clock, ABSENCE_S), StoreContact(clock, ABSENCE_S)
     first.note_answered()
@@ -103,8 +103,8 @@
     assert first.unbroken_s() <= clock.now_s - begun_s
 
 
-def test_an_absence_that_ended_earlier_than_it_was_noted_settles_earlier() -> None:
-    """A gateway was cut off beyond the absence: what it may keep is counted from the return."""
+def test_outage_that_ended_earlier_than_recorded_settles_earlier() -> None:
+    """A gateway cut off for longer than the outage counts the grace from the outage's end."""
     clock = ManualClock()
     contact = _make_contact(clock)
     news = []
@@ -116,7 +116,7 @@
     assert news == [pytest.approx(LAPSE_GRACE_S - 1.5)]
 
 
-def test_what_a_restore_lost_has_its_grace_from_when_any_gateway_heard_of_it() -> None:
+def test_grace_after_restore_counts_from_first_gateway_to_hear_of_it() -> None:
     clock = ManualClock()
     contact = _make_contact(clock)
     contact.note_era(1)
@@ -127,7 +127,7 @@
     assert contact.may_have_lapsed()
     contact.note_era(2, LAPSE_GRACE_S)
     assert not contact.may_have_lapsed()
-    # Who starts in an era takes nothing for lost by it, and tells no other that it is old.
+    # A gateway that starts in an era assumes no loss by the restore, and reports its age as 0.
     newcomer = StoreContact(clock, ABSENCE_S)
     newcomer.note_answered()
     newcomer.note_era(3)
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""Check that a hall's gateways miss no change of the store, whoever relays and whatever is lost."""
+"""Check that gateways of a hall miss no store change when messages are lost or relays change."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass
 class _Gateway:
-    """Hold a feed and what it took in; `inbox` is what the others sent."""
+    """A feed with the changes that it applied; `inbox` holds messages from the other gateways."""
 
     feed: HallFeed
     taken: list[Change] = field(default_factory=list)
@@ -58,15 +58,15 @@
     gateway.feed.note_relay(sender, RelayState(revision, age_s))
 
 
-def _make_fed(clock: ManualClock, revision: int = 10) -> _Gateway:
-    """Return a gateway that has read everything and hears of the relay `a`."""
+def _make_synced(clock: ManualClock, revision: int = 10) -> _Gateway:
+    """Return a gateway that has read the store and hears the relay `a`."""
     gateway = _make_hall("b", clock)["b"]
     gateway.feed.note_read(0, (), revision)
     _hear(gateway, "a", revision)
     return gateway
 
 
-def test_a_gateway_that_has_just_started_listens_before_it_relays() -> None:
+def test_new_gateway_listens_before_relaying() -> None:
     clock = ManualClock()
     gateway = _make_hall("b", clock)["b"]
     gateway.feed.note_read(0, (), 10)
@@ -77,7 +77,7 @@
     assert gateway.feed.relay_state() == RelayState(10, 0.0)
 
 
-def test_of_two_relays_the_first_by_name_stays() -> None:
+def test_first_of_two_relays_by_name_remains() -> None:
     clock = ManualClock()
     hall = _make_hall("ab", clock)
     clock.now_s += LONG_SILENCE_S
@@ -90,7 +90,7 @@
     assert hall["b"].feed.is_passive()
 
 
-def test_a_relay_that_lost_the_store_leaves_it_to_another() -> None:
+def test_relay_that_cannot_reach_store_is_replaced() -> None:
     clock = ManualClock()
     hall = _make_hall("ab", clock)
     clock.now_s += LONG_SILENCE_S
@@ -102,24 +102,24 @@
     assert hall["a"].feed.is_passive()
 
 
-def test_changes_are_taken_in_once_and_in_order() -> None:
+def test_changes_are_applied_once_and_in_order() -> None:
     clock = ManualClock()
-    gateway = _make_fed(clock)
+    gateway = _make_synced(clock)
     first = StoreChanges(10, 12, pack_changes((_change(11), _change(12))))
     gateway.feed.take_changes(first)
     gateway.feed.take_changes(first)
     gateway.feed.take_changes(StoreChanges(11, 13, pack_changes((_change(12), _change(13)))))
     assert gateway.taken == [_change(11), _change(12), _change(13)]
     assert gateway.feed.revision == 13
-    # What an own watch that was under way tells late is known already.
+    # A late response of the gateway's own watch repeats a change that is already known.
     assert gateway.feed.select_fresh((_change(12), _change(14))) == (_change(14),)
 
 
-def test_who_misses_a_change_asks_the_store() -> None:
+def test_gateway_with_a_gap_reads_store() -> None:
     clock = ManualClock()
-    gateway = _make_fed(clock)
+    gateway = _make_synced(clock)
     gateway.feed.take_changes(StoreChanges(11, 12, pack_changes((_change(12),))))
-    # The change itself stands for itself; what is known whole ends before the gap.
+    # The change is applied, but the revision does not advance past the gap.
     assert gateway.taken == [_change(12)]
     assert gateway.feed.revision == 10
     assert gateway.feed.is_passive()
@@ -130,9 +130,9 @@
     assert gateway.feed.is_passive()
 
 
-def test_who_hears_that_the_relay_knows_more_asks_the_store() -> None:
+def test_gateway_behind_relay_reads_store() -> None:
     clock = ManualClock()
-    gateway = _make_fed(clock)
+    gateway = _make_synced(clock)
     _hear(gateway, "a", 11)
     clock.now_s += CATCH_UP_S + 0.01
     _hear(gateway, "a", 11)
@@ -143,14 +143,14 @@
     ("report_age_s", "pause_s", "is_passive"),
     [
         (0.0, 0.5, True),
-        # Nothing is heard any more.
+        # The relay is silent.
         (0.0, LONG_SILENCE_S, False),
-        # The relay is heard, but has not heard of the store itself for long.
+        # The relay is heard, but its own state of the store is stale.
         (STALE_S, 0.0, False),
         (STALE_S - 0.2, 0.3, False),
     ],
 )
-def test_a_relay_is_relied_on_no_longer_than_it_is_fresh(
+def test_stale_relay_is_not_relied_on(
     report_age_s: float, pause_s: float, is_passive: bool
 ) -> None:
     clock = ManualClock()
@@ -162,7 +162,7 @@
     assert gateway.feed.is_passive() is is_passive
 
 
-def test_what_fits_no_datagram_is_left_to_the_store() -> None:
+def test_changes_too_large_for_a_datagram_are_not_sent() -> None:
     clock = ManualClock()
     hall = _make_hall("ab", clock)
     clock.now_s += LONG_SILENCE_S
@@ -173,15 +173,15 @@
 
 
 @pytest.mark.parametrize("packed", [b"", b"no zlib", pack_changes(())[:-3] + b"abc"])
-def test_a_message_that_cannot_be_unpacked_changes_nothing(packed: bytes) -> None:
-    gateway = _make_fed(ManualClock())
+def test_unreadable_changes_are_ignored(packed: bytes) -> None:
+    gateway = _make_synced(ManualClock())
     gateway.feed.take_changes(StoreChanges(10, 11, packed))
     assert gateway.feed.revision == 10
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_whatever_is_lost_every_gateway_ends_with_the_store(seed: int) -> None:
-    """Play random changes, lost messages, silent relays and outages against a plain log."""
+def test_gateways_converge_to_store_despite_losses(seed: int) -> None:
+    """Compare with a plain log under random changes, lost messages, silent relays and outages."""
     rng = random.Random(seed)
     clock = ManualClock()
     hall = _make_hall("abc", clock)
@@ -219,14 +219,14 @@
                     gateway.feed.note_unreachable()
     truth = {c.key: c.value for c in log}
     for name, gateway in hall.items():
-        # Whoever relies on a relay lacks nothing that is older than it may be.
+        # Every change up to the gateway's revision has been applied.
         behind = [c for c in log if c.revision > gateway.feed.revision]
         assert known[name] | {c.key: c.value for c in behind} == truth
         read(name)
         assert known[name] == truth
 
 
-def test_the_first_of_a_hall_is_who_hears_of_none_before_it() -> None:
+def test_gateway_is_first_if_no_smaller_name_is_heard() -> None:
     clock = ManualClock()
     feed = _make_hall("b", clock)["b"].feed
     feed.note_peer("c")
@@ -237,15 +237,15 @@
     assert feed.is_first()
 
 
-def test_a_relay_that_must_read_everything_anew_vouches_for_what_it_knew() -> None:
-    """A gateway that lacks a change must not hear from it that it lacks none."""
+def test_relay_that_reads_everything_again_reports_its_old_revision() -> None:
+    """A relay must not report a revision that it has not read, or peers would miss changes."""
     clock = ManualClock()
     hall = _make_hall("ab", clock)
     clock.now_s += LONG_SILENCE_S
     hall["a"].feed.note_read(0, (), 10)
     hall["b"].feed.note_read(0, (), 12)
     assert hall["a"].feed.relay_state() == RelayState(10, 0.0)
-    # From then on it is as silent about the store as the store is to it.
+    # Without an answer from the store, it stops reporting as the relay.
     clock.now_s += STALE_S
     assert hall["a"].feed.relay_state() is None
     hall["a"].feed.note_read(0, (), 12)
@@ -255,31 +255,31 @@
 RESTORED = join_revision(1, 5)
 
 
-def test_what_a_restored_store_gives_out_again_is_newer_than_all_before() -> None:
-    gateway = _make_fed(ManualClock(), 10)
+def test_changes_after_a_restore_are_newer_than_all_before() -> None:
+    gateway = _make_synced(ManualClock(), 10)
     change = Change("key-9", b"after the restore", RESTORED)
     gateway.feed.select_fresh((_change(9), _change(10)))
     gateway.feed.take_changes(StoreChanges(RESTORED - 1, RESTORED, pack_changes((change,))))
     assert gateway.taken == [change]
-    # What was there before the change is not known whole: it must be read.
+    # Changes before this one may be missing, so the store must be read.
     assert gateway.feed.revision == 10
 
 
-def test_a_relay_of_an_earlier_era_confirms_nothing_of_a_later_one() -> None:
+def test_relay_of_earlier_era_does_not_confirm_later_era() -> None:
     clock = ManualClock()
-    gateway = _make_fed(clock, 10)
+    gateway = _make_synced(clock, 10)
     _hear(gateway, "a", RESTORED)
     clock.now_s += CATCH_UP_S + 0.01
     _hear(gateway, "a", RESTORED)
     assert not gateway.feed.is_passive()
     gateway.feed.note_read(0, (), RESTORED)
     assert gateway.feed.revision == RESTORED
-    # A gateway that still is in the earlier era cannot take that back.
+    # Changes from a gateway that is still in the earlier era are ignored.
     gateway.feed.take_changes(StoreChanges(10, 11, pack_changes((_change(11),))))
     assert gateway.taken == [] and gateway.feed.revision == RESTORED
 
 
-def test_an_older_reading_that_ends_late_takes_nothing_back() -> None:
+def test_late_stale_read_overwrites_nothing() -> None:
     feed = _make_hall("b", ManualClock())["b"].feed
     newer, older, other = Change("k", b"new", 12), Change("k", b"old", 11), Change("other", b"o", 5)
     assert feed.select_fresh((newer,)) == (newer,)
@@ -288,13 +288,13 @@
     assert feed.newest_revision("unheard of") == 0
 
 
-def test_a_key_that_is_gone_does_not_come_back_with_an_older_reading() -> None:
+def test_stale_read_does_not_restore_deleted_key() -> None:
     feed = _make_hall("b", ManualClock())["b"].feed
     assert feed.select_fresh((Change("k", None, 12),)) == (Change("k", None, 12),)
     assert feed.select_fresh((Change("k", b"old", 11),)) == ()
 
 
-def test_the_peers_are_told_when_more_is_known() -> None:
+def test_advance_of_revision_is_signalled() -> None:
     feed = _make_hall("b", ManualClock())["b"].feed
     told: list[int] = []
     feed.on_moved = lambda: told.append(feed.revision)
