--- a/dalehollow/gateway/copies.py
+++ b/dalehollow/gateway/copies.py
@@ -1,9 +1,10 @@
-"""Hand what the store told from gateway to gateway where the store does not.
+"""Copy store changes from gateway to gateway when neither the store nor the relay delivers them.
 
-Reports tell up to which revision their sender lacks nothing. Who hears of a later one than its own,
-and does not get there by the usual ways within a moment, fetches what is newer from a gateway that
-has it: configurations, upstreams that leave or are gone, members, duties, plans. So a gateway lacks
-nothing for long that any gateway it hears knows, whether or not the store answers it.
+Reports carry the revision up to which their sender misses no change. A gateway that hears of a
+later revision than its own, and does not reach it through the relay or the store within
+`COPY_AFTER_S`, fetches the newer changes from a peer that has them: configurations, upstreams that
+leave or are gone, members, duties, plans. So a gateway catches up with every peer it hears, even
+if the store does not answer it.
 """
 
 from __future__ import annotations
@@ -25,15 +26,14 @@
 from dalehollow.telemetry.logs import log_event
 
 COPY_AFTER_S = 0.3
-"""Changes come within milliseconds, and who lacks one asks the store after 0.1 s: what is still
-missing after this was refused or lost twice."""
+"""Changes arrive within milliseconds, and a gateway that misses one reads the store after 0.1 s; a
+change still missing after this time was lost or refused on both ways."""
 RETRY_PAUSE_S = 0.1
-"""Pause after a fetch that failed, before another gateway that has more is asked."""
+"""Pause after a failed fetch, before the next gateway is tried."""
 SOURCE_LIFE_S = 1.0
-"""A gateway that has not said for so long what it knows is not asked for it: four of its reports
-are missing."""
+"""A gateway not heard for this time is not asked for changes: four of its reports are missing."""
 FETCH_TIMEOUT_S = 0.3
-"""Bound of the connection and of the wait for the answer to begin: both take milliseconds."""
+"""Limit for connecting, and for the response to begin: both take milliseconds."""
 _PATH = "/changes"
 
 _LOG = logging.getLogger(__name__)
@@ -43,15 +43,15 @@
 
 @dataclass(frozen=True)
 class _Source:
-    """Hold up to which revision a gateway lacks nothing, and when that was last heard."""
+    """The revision up to which a peer misses no change, and when the peer last reported it."""
 
     revision: int
     heard_at_s: float
 
 
 @dataclass(frozen=True)
-class _Packed:
-    """Hold an answer, and for which request and state of knowledge it was made."""
+class _CachedResponse:
+    """A cached response body, with the request and the state of the feed it was built for."""
 
     after: int
     taken: int
@@ -59,31 +59,31 @@
 
 
 class StoreCopies:
-    """Fetch from other gateways what this one lacks, and give them what they lack."""
+    """Fetch missing store changes from other gateways, and serve such requests of theirs."""
 
     def __init__(self, feed: HallFeed, rng: random.Random, dial: Dial = connect) -> None:
-        """Prepare; `dial` opens a connection to another gateway's address."""
+        """Create the copier; `dial` opens a connection to another gateway's address."""
         self._feed = feed
         self._rng = rng
         self._dial = dial
-        # Kept, since many that lack the same may ask at once.
-        self._packed = _Packed(0, -1, b"")
+        # Cached, since many gateways that miss the same changes may ask at once.
+        self._cached = _CachedResponse(0, -1, b"")
         self._sources: dict[str, _Source] = {}
-        self._lacks = asyncio.Event()
+        self._is_behind = asyncio.Event()
 
     def note_told(self, address: str, revision: int) -> None:
-        """Take in up to which revision the gateway at an address lacks nothing."""
+        """Record the revision up to which the gateway at an address misses no change."""
         if revision <= self._feed.revision:
             self._sources.pop(address, None)
             return
         self._sources[address] = _Source(revision, asyncio.get_running_loop().time())
-        self._lacks.set()
+        self._is_behind.set()
 
     async def run(self) -> None:
-        """Fetch what is lacked for longer than a moment, for ever."""
+        """Fetch changes that stay missing for `COPY_AFTER_S`; never returns."""
         while True:
-            await self._lacks.wait()
-            self._lacks.clear()
+            await self._is_behind.wait()
+            self._is_behind.clear()
             wanted = max((s.revision for s in self._sources.values()), default=0)
             if wanted <= self._feed.revision:
                 continue
@@ -94,28 +94,28 @@
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     async def answer(self, caller: CallerConnection, request: CallerRequest) -> None:
-        """Tell another gateway all that is known here and newer than a revision."""
-        after = _read_after(request.target)
+        """Answer another gateway's request with all known changes after a revision."""
+        after = _parse_after(request.target)
         if after is None:
             caller.send_whole(HTTPStatus.BAD_REQUEST, [], b"")
             return
         if not self._feed.revision:
             caller.send_whole(HTTPStatus.NOT_FOUND, [], b"")
             return
-        if (self._packed.after, self._packed.taken) != (after, self._feed.taken):
+        if (self._cached.after, self._cached.taken) != (after, self._feed.taken):
             body = msgspec.msgpack.encode(self._feed.list_changes(after))
-            self._packed = _Packed(after, self._feed.taken, body)
-        caller.send_whole(HTTPStatus.OK, [], self._packed.body)
+            self._cached = _CachedResponse(after, self._feed.taken, body)
+        caller.send_whole(HTTPStatus.OK, [], self._cached.body)
 
     def _choose_source(self, wanted: int) -> str:
-        """Return where a revision is to be had, or "" where nobody is heard that has it."""
+        """Return the address of a gateway that has a revision, "" if none was heard recently."""
         since_s = asyncio.get_running_loop().time() - SOURCE_LIFE_S
         self._sources = {a: s for a, s in self._sources.items() if s.heard_at_s > since_s}
-        having = sorted(a for a, s in self._sources.items() if s.revision >= wanted)
-        return self._rng.choice(having) if having else ""
+        candidates = sorted(a for a, s in self._sources.items() if s.revision >= wanted)
+        return self._rng.choice(candidates) if candidates else ""
 
     async def _fetch(self, address: str) -> bool:
-        """Fetch from a gateway what is lacked; return whether it gave it."""
+        """Fetch missing changes from a gateway; return whether the revision advanced."""
         before = self._feed.revision
         try:
             body = await self._call(address, before)
@@ -150,7 +150,7 @@
                 connection.abort()
 
 
-def _read_after(target: bytes) -> int | None:
-    """Return the revision that a request names, or None if it names none."""
+def _parse_after(target: bytes) -> int | None:
+    """Return the `after` revision of a request target, None if missing or not a number."""
     values = parse_qs(target.partition(b"?")[2]).get(b"after", [b""])
     return int(values[0]) if values[0].isdigit() else None
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -1,4 +1,4 @@
-"""Check that what a gateway lacks is fetched from another one, and only where it is lacked."""
+"""Check that a gateway fetches missing store changes from a peer, and only those it misses."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass
 class _Gateway:
-    """Hold a feed with its copies, and what it took in."""
+    """A feed with its copier, and the items that it applied."""
 
     feed: HallFeed
     copies: StoreCopies
@@ -44,7 +44,7 @@
                 del self.known[key]
 
     def read(self, after: int, changes: tuple[Change, ...], revision: int) -> None:
-        """Take in what the store answered."""
+        """Apply a response of the store."""
         if after:
             self.take(self.feed.select_fresh(changes))
         else:
@@ -53,7 +53,7 @@
 
 
 def _make_gateway(revision: int = 0, dial: copies_module.Dial = connect) -> _Gateway:
-    """Return one that has read an empty store at a revision, or nothing at all."""
+    """Return a gateway that has read an empty store at `revision`, or nothing if it is 0."""
     feed = HallFeed("a", read_clock, random.Random(1), lambda changes: None)
     gateway = _Gateway(feed, StoreCopies(feed, random.Random(1), dial))
     feed.on_changes, feed.on_all = gateway.take, gateway.take_all
@@ -67,8 +67,8 @@
 
 
 @dataclass
-class _Dialled:
-    """Stand in for the network: note who was asked, and give no connection."""
+class _RefusingDial:
+    """Stand-in for the network that records dialled addresses and refuses each connection."""
 
     addresses: list[str] = field(default_factory=list)
 
@@ -86,15 +86,15 @@
     return status, body
 
 
-def _copy(holder: _Gateway, lacking: _Gateway) -> None:
-    """Have a gateway fetch what it lacks."""
+def _copy(holder: _Gateway, receiver: _Gateway) -> None:
+    """Let a gateway fetch what it misses from `holder`."""
 
     async def main() -> None:
         address = await listen(holder.copies.answer)
-        task = asyncio.ensure_future(lacking.copies.run())
+        task = asyncio.ensure_future(receiver.copies.run())
         async with asyncio.timeout(TIMEOUT_S):
-            lacking.copies.note_told(address, holder.feed.revision)
-            while lacking.feed.revision < holder.feed.revision:
+            receiver.copies.note_told(address, holder.feed.revision)
+            while receiver.feed.revision < holder.feed.revision:
                 await asyncio.sleep(0.001)
         task.cancel()
 
@@ -102,58 +102,61 @@
 
 
 @pytest.fixture
-def _no_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+def _no_copy_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(copies_module, "COPY_AFTER_S", 0.0)
 
 
-@pytest.mark.usefixtures("_no_wait")
+@pytest.mark.usefixtures("_no_copy_delay")
 @pytest.mark.parametrize("size", [10, 900_000, 1 << 20])
-def test_what_is_newer_is_fetched_whole(size: int) -> None:
-    holder, lacking = _make_gateway(3), _make_gateway(3)
+def test_newer_changes_are_fetched_in_full(size: int) -> None:
+    holder, receiver = _make_gateway(3), _make_gateway(3)
     holder.read(3, (_change(7, size=size), _change(8, "other")), 8)
-    _copy(holder, lacking)
-    assert lacking.known == holder.known
-    assert lacking.known["key"] == _change(7, size=size).value
-    assert lacking.feed.revision == 8
+    _copy(holder, receiver)
+    assert receiver.known == holder.known
+    assert receiver.known["key"] == _change(7, size=size).value
+    assert receiver.feed.revision == 8
 
 
-@pytest.mark.usefixtures("_no_wait")
-def test_a_key_that_is_gone_goes_with_the_copy() -> None:
-    holder, lacking = _make_gateway(3), _make_gateway(3)
-    for gateway in (holder, lacking):
+@pytest.mark.usefixtures("_no_copy_delay")
+def test_copy_includes_deletions() -> None:
+    holder, receiver = _make_gateway(3), _make_gateway(3)
+    for gateway in (holder, receiver):
         gateway.read(3, (_change(4), _change(5, "other")), 5)
     holder.read(5, (Change("key", None, 6),), 6)
-    _copy(holder, lacking)
-    assert set(lacking.known) == {"other"}
+    _copy(holder, receiver)
+    assert set(receiver.known) == {"other"}
 
 
-@pytest.mark.usefixtures("_no_wait")
-def test_a_gateway_that_was_not_there_yet_gives_everything() -> None:
-    """It knows nothing of keys that were gone before it read the store for the first time."""
-    holder, lacking = _make_gateway(), _make_gateway(3)
-    lacking.read(3, (_change(4, "gone before"), _change(5, "other")), 5)
+@pytest.mark.usefixtures("_no_copy_delay")
+def test_gateway_that_started_later_sends_all_items() -> None:
+    """A gateway does not know of keys deleted before its first read of the store.
+
+    A copy of single changes from it would leave such keys in place, so it sends all items.
+    """
+    holder, receiver = _make_gateway(), _make_gateway(3)
+    receiver.read(3, (_change(4, "gone before"), _change(5, "other")), 5)
     holder.read(0, (_change(5, "other"),), 9)
     holder.read(9, (_change(10),), 10)
-    _copy(holder, lacking)
-    assert set(lacking.known) == {"other", "key"}
-    # Who has been there since then gets no more than it lacks.
+    _copy(holder, receiver)
+    assert set(receiver.known) == {"other", "key"}
+    # For a later revision it sends only the newer changes.
     later = holder.feed.list_changes(9)
     assert [c.key for c in unpack_changes(later.packed)] == ["key"]
 
 
-@pytest.mark.usefixtures("_no_wait")
-def test_a_gateway_that_knows_nothing_begins_with_a_copy() -> None:
-    holder, lacking = _make_gateway(3), _make_gateway()
+@pytest.mark.usefixtures("_no_copy_delay")
+def test_new_gateway_starts_from_a_copy() -> None:
+    holder, receiver = _make_gateway(3), _make_gateway()
     holder.read(3, (_change(4), Change("gone", None, 5)), 5)
-    _copy(holder, lacking)
-    assert lacking.known == holder.known
-    assert lacking.feed.revision == 5
+    _copy(holder, receiver)
+    assert receiver.known == holder.known
+    assert receiver.feed.revision == 5
 
 
 @pytest.mark.parametrize(("own", "told", "asks"), [(3, 7, True), (7, 7, False), (8, 7, False)])
-def test_only_who_lacks_something_asks(own: int, told: int, asks: bool) -> None:
+def test_gateway_asks_only_if_it_is_behind(own: int, told: int, asks: bool) -> None:
     async def main() -> None:
-        dialled = _Dialled()
+        dialled = _RefusingDial()
         copies = _make_gateway(own, dialled).copies
         task = asyncio.ensure_future(copies.run())
         copies.note_told("host:1", told)
@@ -164,9 +167,9 @@
     run_virtual(main())
 
 
-def test_what_comes_by_the_usual_ways_is_not_fetched() -> None:
+def test_changes_that_arrive_in_time_are_not_fetched() -> None:
     async def main() -> None:
-        dialled = _Dialled()
+        dialled = _RefusingDial()
         gateway = _make_gateway(3, dialled)
         task = asyncio.ensure_future(gateway.copies.run())
         gateway.copies.note_told("host:1", 7)
@@ -179,9 +182,9 @@
     run_virtual(main())
 
 
-def test_who_is_heard_no_more_is_not_asked_and_the_others_are_tried() -> None:
+def test_silent_gateways_are_not_asked_and_others_are_retried() -> None:
     async def main() -> None:
-        dialled = _Dialled()
+        dialled = _RefusingDial()
         copies = _make_gateway(3, dialled).copies
         task = asyncio.ensure_future(copies.run())
         copies.note_told("silent:1", 7)
@@ -198,35 +201,35 @@
 
 
 @pytest.mark.parametrize("status", [404, 503])
-def test_a_gateway_that_has_none_is_left_alone_for_a_moment(status: int) -> None:
+def test_error_status_fails_the_fetch(status: int) -> None:
     async def refuse(caller: CallerConnection, request: CallerRequest) -> None:
         caller.send_whole(status, [], b"")
 
     async def main() -> None:
         address = await listen(refuse)
-        lacking = _make_gateway(3)
-        assert not await lacking.copies._fetch(address)
-        assert lacking.feed.revision == 3
+        receiver = _make_gateway(3)
+        assert not await receiver.copies._fetch(address)
+        assert receiver.feed.revision == 3
 
     asyncio.run(main())
 
 
-GARBLED = (
+UNREADABLE = (
     b"no copy",
     msgspec.msgpack.encode(StoreChanges(3, 9, b"no changes")),
     msgspec.msgpack.encode(StoreChanges(0, 9, b"no changes")),
 )
 
 
-@pytest.mark.parametrize("garbled", GARBLED)
-def test_an_answer_that_cannot_be_read_changes_nothing(garbled: bytes) -> None:
-    async def garble(caller: CallerConnection, request: CallerRequest) -> None:
-        caller.send_whole(200, [], garbled)
+@pytest.mark.parametrize("sent", UNREADABLE)
+def test_unreadable_response_is_ignored(sent: bytes) -> None:
+    async def send_unreadable(caller: CallerConnection, request: CallerRequest) -> None:
+        caller.send_whole(200, [], sent)
 
     async def main() -> None:
-        lacking = _make_gateway(3)
-        assert not await lacking.copies._fetch(await listen(garble))
-        assert lacking.feed.revision == 3 and not lacking.known
+        receiver = _make_gateway(3)
+        assert not await receiver.copies._fetch(await listen(send_unreadable))
+        assert receiver.feed.revision == 3 and not receiver.known
 
     asyncio.run(main())
 
@@ -241,36 +244,34 @@
         (5, "/changes?after=x", 400),
     ],
 )
-def test_a_request_that_cannot_be_answered_is_refused(
-    revision: int, path: str, status: int
-) -> None:
+def test_invalid_request_is_refused(revision: int, path: str, status: int) -> None:
     async def main() -> int:
         return (await _ask(await listen(_make_gateway(revision).copies.answer), path))[0]
 
     assert asyncio.run(main()) == status
 
 
-def test_an_answer_is_packed_once_and_anew_for_what_is_newer() -> None:
+def test_response_is_cached_until_a_change() -> None:
     holder = _make_gateway(3)
-    made: list[int] = []
+    calls: list[int] = []
     list_changes = holder.feed.list_changes
 
-    def note_list(after: int) -> StoreChanges:
-        made.append(after)
+    def record_call(after: int) -> StoreChanges:
+        calls.append(after)
         return list_changes(after)
 
-    holder.feed.list_changes = note_list  # type: ignore[method-assign]
+    holder.feed.list_changes = record_call  # type: ignore[method-assign]
 
     async def main() -> None:
         address = await listen(holder.copies.answer)
         path = "/changes?after=3"
         holder.read(3, (_change(4),), 4)
         assert await _ask(address, path) == await _ask(address, path)
-        assert made == [3]
+        assert calls == [3]
         holder.read(4, (_change(5),), 5)
         _, body = await _ask(address, path)
         message = msgspec.msgpack.decode(body, type=StoreChanges)
         assert unpack_changes(message.packed) == (_change(5),)
-        assert made == [3, 3]
+        assert calls == [3, 3]
 
     asyncio.run(main())
