--- a/dalehollow/gateway/listed.py
+++ b/dalehollow/gateway/listed.py
@@ -1,4 +1,4 @@
-"""Hold what lists say of upstreams and of gateways."""
+"""Entries of upstreams and of gateways, as the store lists them."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 @dataclass(frozen=True)
 class ListedUpstream:
-    """Hold one listed upstream.
+    """One listed upstream.
 
-    It may start again under the `incarnation` that it had: then it knows nothing of before.
+    An upstream may restart under the same `incarnation`, with no state from before.
     """
 
     incarnation: str
@@ -24,33 +24,33 @@
     group_size: int = 0
     group_epoch: int = 0
     group_is_open: bool = True
-    # By its own clock; 0 where it does not tell.
+    # By the upstream's own clock; 0 if not given.
     started_at_ms: int = 0
 
     @cached_property
     def group_key(self) -> str:
-        """Return what names its rank group among all; its service where it stands alone."""
+        """Return the unique key of its rank group; its service if it is in no group."""
         return f"{self.service}/{self.group}" if self.group else self.service
 
-    def replace_with(self, told: ListedUpstream) -> ListedUpstream:
-        """Return what holds after an entry of the same start was read.
+    def replace_with(self, entry: ListedUpstream) -> ListedUpstream:
+        """Return the merge with a newly read entry of the same start.
 
-        A store that was restored may show an entry as it was: leaving is never taken back, and no
-        epoch of a group comes again.
+        A restored store may return an outdated entry, so leaving is never reverted and a group's
+        epoch never decreases.
         """
-        if told.group_epoch < self.group_epoch:
-            told = replace(told, group_epoch=self.group_epoch, group_is_open=self.group_is_open)
-        return replace(told, is_leaving=True) if self.is_leaving else told
+        if entry.group_epoch < self.group_epoch:
+            entry = replace(entry, group_epoch=self.group_epoch, group_is_open=self.group_is_open)
+        return replace(entry, is_leaving=True) if self.is_leaving else entry
 
 
 def read_service(group_key: str) -> str:
-    """Return the service that a group's key names."""
+    """Return the service part of a group key."""
     return group_key.partition("/")[0]
 
 
 @dataclass(frozen=True)
 class Member:
-    """Hold what a gateway says of itself: where it takes datagrams, and its hall."""
+    """The entry of a gateway: the address where it receives datagrams, and its hall."""
 
     address: str
     hall: str
--- a/dalehollow/gateway/members.py
+++ b/dalehollow/gateway/members.py
@@ -1,8 +1,8 @@
-"""Hold which gateways are there: those that the store lists and those that are heard.
+"""Membership of gateways: those that the store lists and those that are heard.
 
-A gateway that the store turns away loses its entry with its lease, though it runs and others reach
-it. Whoever is heard is there, listed or not, so that what gateways tell each other does not end
-with what the store knows of them.
+A gateway that the store refuses loses its entry when its lease expires, although it still runs and
+peers reach it. A gateway that is heard is a member, listed or not, so that the exchange of reports
+does not depend on the store.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from dalehollow.telemetry.logs import log_event
 
 HEARD_LIFE_S = 5.0
-"""A gateway that is not listed and was not heard for so long is gone: longer than reports of
-another hall are ever apart, and than a VM that is moved stands still."""
+"""A gateway that is not listed and was not heard for this time is gone. Longer than the interval
+between reports of another hall, and than the pause of a VM during live migration."""
 
 _LOG = logging.getLogger(__name__)
 
@@ -28,25 +28,25 @@
 
 
 class Members:
-    """Hold the gateways that are there, by name."""
+    """Track the member gateways by name."""
 
     def __init__(
         self, clock: Callable[[], float], on_change: Callable[[str, Member | None], None]
     ) -> None:
-        """Prepare; `on_change` takes each gateway that comes, moves, or is gone (None)."""
+        """Start empty; `on_change` is called with each gateway added, moved or gone (None)."""
         self._clock = clock
         self._on_change = on_change
         self._listed: dict[str, Member] = {}
         self._heard: dict[str, _Heard] = {}
-        self._there: dict[str, Member] = {}
+        self._current: dict[str, Member] = {}
 
     @property
     def there(self) -> Mapping[str, Member]:
-        """Return the gateways that are there now."""
-        return self._there
+        """Return the current members."""
+        return self._current
 
     def note_listed(self, name: str, member: Member | None) -> None:
-        """Take in that the store lists a gateway, or does no more."""
+        """Record that the store lists a gateway, or no longer does (None)."""
         if member is not None:
             self._listed[name] = member
         else:
@@ -56,14 +56,14 @@
         self._update(name)
 
     def note_heard(self, name: str, member: Member) -> None:
-        """Take in that a gateway was heard, from the address that it listens at."""
-        if name not in self._there:
+        """Record that a gateway was heard, with the address that it listens at."""
+        if name not in self._current:
             log_event(_LOG, "member_heard", name=name, address=member.address)
         self._heard[name] = _Heard(member, self._clock())
         self._update(name)
 
     def forget_silent(self) -> None:
-        """Forget who was not heard for long."""
+        """Drop gateways not heard for `HEARD_LIFE_S`."""
         for name in [n for n in self._heard if self._heard_age_s(n) > HEARD_LIFE_S]:
             del self._heard[name]
             self._update(name)
@@ -72,13 +72,13 @@
         return round(self._clock() - self._heard[name].at_s, 3)
 
     def _update(self, name: str) -> None:
-        """Tell of a change; a gateway's own entry says better than a datagram where it is."""
+        """Apply and report a change; a listed address takes precedence over a heard one."""
         heard = self._heard.get(name)
         member = self._listed.get(name) or (heard.member if heard is not None else None)
-        if member == self._there.get(name):
+        if member == self._current.get(name):
             return
         if member is not None:
-            self._there[name] = member
+            self._current[name] = member
         else:
-            del self._there[name]
+            del self._current[name]
         self._on_change(name, member)
--- a/dalehollow/gateway/reports.py
+++ b/dalehollow/gateway/reports.py
@@ -1,10 +1,10 @@
-"""Tell the other gateways what this one has in hand, and keep what they tell.
+"""Exchange load reports between gateways by datagram.
 
-Within a hall a load report goes to each gateway when something has changed, and a few times a
-second without a change. To every other hall one gateway, as a rule the relay, sends one report of
-all that its hall has in hand, and what it knows of limits and of requests that crash upstreams;
-the gateway that gets it passes it on within its own. It is soft
-state: a lost datagram is made up for by the next, and who falls silent is forgotten.
+Within a hall, each gateway sends a load report to every other one on a change, and a few times per
+second without a change. One gateway of a hall, normally the relay, sends every other hall one
+report of the hall's total requests in flight, and what it knows of upstream limits and of requests
+that crash upstreams; the receiving gateway forwards it within its own hall. Reports are soft state:
+the next one makes up for a lost datagram, and gateways that fall silent are dropped.
 """
 
 from __future__ import annotations
@@ -42,20 +42,20 @@
 from dalehollow.telemetry.logs import log_event
 
 REPORT_INTERVAL_S = 0.05
-"""Less than half of a pass of an engine: what changes within a pass is told before the next."""
+"""Less than half an engine pass, so that a change within a pass is reported before the next."""
 IDLE_INTERVAL_S = 0.25
-"""Less than half of the time after which a relay counts as silent."""
+"""Less than half of `RELAY_SILENT_S`, after which a relay counts as silent."""
 DATAGRAM_HEAD_BYTES = 28
 SILENT_AFTER_S = 1.5
-"""Six idle intervals: the load of a gateway that is gone must not bind others for long."""
+"""Six idle intervals: the load of a gateway that is gone must not block slots for long."""
 HALL_SILENT_AFTER_S = 3.0
-"""Reports of halls are kept within a budget of bytes, so they come more seldom."""
-LIMIT_END_TOLD_S = 10.0
-"""That an upstream has no limit any more is told for so long: other halls hear of it in time."""
+"""Reports between halls stay within a byte budget, so they are less frequent."""
+LIMIT_END_REPORTED_S = 10.0
+"""The end of an upstream's limit is reported for this time, so that it reaches other halls."""
 SIGNALS_SHARE = 0.5
-"""Of the bytes to other halls so much may go to limits and suspicions beside the sums of loads."""
-SPEAKER_SILENT_S = 1.0
-"""A gateway of another hall that was not heard for so long is no more the one to send to."""
+"""Limits and suspicions may take this share of `far_bytes_per_s`, on top of the load totals."""
+REPRESENTATIVE_SILENT_S = 1.0
+"""A gateway of another hall that is silent for this time is no longer its hall's representative."""
 
 _LOG = logging.getLogger(__name__)
 
@@ -63,32 +63,32 @@
 
 
 @dataclass
-class _Reported:
+class _PeerLoad:
     in_hand: Mapping[str, int]
     heard_at_s: float
     silent_after_s: float
 
 
 @dataclass
-class _FarHall:
-    """Hold the gateways of another hall by name, and the one that was heard last."""
+class _RemoteHall:
+    """The gateways of another hall by name, and its representative: the one heard last."""
 
     members: dict[str, _Address]
-    speaker: _Address | None = None
+    representative: _Address | None = None
     heard_at_s: float = float("-inf")
-    _turn: int = 0
+    _next_index: int = 0
 
-    def choose_address(self, now_s: float) -> _Address:
-        """Return where to send: to the one that speaks for its hall, else to each in turn."""
-        if self.speaker is not None and now_s - self.heard_at_s < SPEAKER_SILENT_S:
-            return self.speaker
-        self._turn += 1
+    def select_address(self, now_s: float) -> _Address:
+        """Return the address of the representative, or of each gateway in turn if it is silent."""
+        if self.representative is not None and now_s - self.heard_at_s < REPRESENTATIVE_SILENT_S:
+            return self.representative
+        self._next_index += 1
         names = sorted(self.members)
-        return self.members[names[self._turn % len(names)]]
+        return self.members[names[self._next_index % len(names)]]
 
 
 class PeerReports(asyncio.DatagramProtocol):
-    """Hold the socket and what the peers told last."""
+    """Own the peer socket, and the last reports of the peers."""
 
     def __init__(
         self,
@@ -103,16 +103,16 @@
         members: Members,
         crashes: CrashWatch,
     ) -> None:
-        """Prepare; `on_change` is called after each report that was taken in.
+        """Create the exchange; `on_change` is called after each report received.
 
-        Reports to other halls stay within `far_bytes_per_s`. What they tell of the store goes to
-        `feed`, how much of it they know to `copies`, who was heard to `members`, and which requests
-        they suspect to `crashes`.
+        Load totals to other halls stay within `far_bytes_per_s`. Of a received report, the store
+        state goes to `feed`, the revision to `copies`, the sender to `members`, and the suspected
+        requests to `crashes`.
         """
         self._name = name
         self._hall = hall
-        self._far_bytes_per_s = far_bytes_per_s
-        self._far_from_s = self._signals_from_s = 0.0
+        self._remote_bytes_per_s = far_bytes_per_s
+        self._next_total_at_s = self._next_signals_at_s = 0.0
         self._upstreams = upstreams
         self._health = health
         self._on_change = on_change
@@ -121,33 +121,34 @@
         self._copies = copies
         self._members = members
         self._crashes = crashes
-        # Set by whoever shares limits of upstreams.
+        # Set by the owner if limits of upstreams are shared among gateways.
         self.tokens: LimitTokens | None = None
         self._transport: asyncio.DatagramTransport | None = None
-        self._near: dict[str, _Address] = {}
-        self._far: dict[str, _FarHall] = {}
-        self._near_reports: dict[str, _Reported] = {}
-        self._hall_reports: dict[str, _Reported] = {}
+        self._hall_peers: dict[str, _Address] = {}
+        self._remote_halls: dict[str, _RemoteHall] = {}
+        self._peer_loads: dict[str, _PeerLoad] = {}
+        self._hall_loads: dict[str, _PeerLoad] = {}
         self._changed = asyncio.Event()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket."""
-        # The event loop's own class does not derive from the abstract one: nothing to check.
+        """Store the transport."""
+        # The event loop's transport class does not derive from the abstract one, so an isinstance
+        # check would fail.
         self._transport = cast("asyncio.DatagramTransport", transport)
 
     def datagram_received(self, data: bytes, addr: _Address) -> None:
-        """Take a peer's message in."""
+        """Decode and dispatch a message of a peer."""
         try:
             message = msgspec.msgpack.decode(data, type=PeerMessage)
         except msgspec.MsgspecError as exc:
             log_event(_LOG, "report_unreadable", logging.WARNING, sender=addr[0], error=exc)
             return
         if isinstance(message, LoadReport):
-            self._take_load(message, addr)
+            self._handle_load(message, addr)
         elif isinstance(message, HallReport):
-            self._take_hall(message, addr)
+            self._handle_hall(message, addr)
         elif isinstance(message, HallSignals):
-            self._take_hall_signals(message)
+            self._handle_hall_signals(message)
         elif isinstance(message, TokenAsk):
             if self.tokens is not None:
                 self.tokens.take_ask(message, addr[:2])
@@ -155,42 +156,44 @@
             if self.tokens is not None:
                 self.tokens.take_grant(message)
         else:
-            # A relay passes on at once what the store answered.
+            # A relay forwards responses of the store at once, so the store has just answered.
             self._feed.contact.note_answered()
             self._feed.take_changes(message)
 
     def error_received(self, exc: Exception) -> None:
-        """Note a datagram that could not be delivered; the peer's silence tells the rest."""
+        """Log an undelivered datagram; a peer that is gone is detected by its silence."""
         log_event(_LOG, "report_undelivered", logging.DEBUG, error=exc)
 
     def note_member(self, name: str, member: Member | None) -> None:
-        """Add or forget a gateway."""
-        self._near.pop(name, None)
-        for hall in self._far.values():
+        """Add or update a gateway, or remove it if `member` is None."""
+        self._hall_peers.pop(name, None)
+        for hall in self._remote_halls.values():
             hall.members.pop(name, None)
-        self._far = {name: hall for name, hall in self._far.items() if hall.members}
+        self._remote_halls = {
+            name: hall for name, hall in self._remote_halls.items() if hall.members
+        }
         if member is None:
-            self._forget(self._near_reports, name)
+            self._drop(self._peer_loads, name)
         elif name != self._name:
             host, _, port = member.address.rpartition(":")
             address = (host, int(port))
             if member.hall == self._hall:
-                self._near[name] = address
+                self._hall_peers[name] = address
             else:
-                self._far.setdefault(member.hall, _FarHall({})).members[name] = address
+                self._remote_halls.setdefault(member.hall, _RemoteHall({})).members[name] = address
         self._changed.set()
 
     def note_change(self) -> None:
-        """Ask for a report to go out soon."""
+        """Schedule a report."""
         self._changed.set()
 
     def list_peers(self) -> list[Peer]:
-        """Return the other gateways that are there."""
-        heard = self._near_reports
-        near = [Peer(n, self._hall, address, n in heard) for n, address in self._near.items()]
+        """Return the other gateways."""
+        heard = self._peer_loads
+        near = [Peer(n, self._hall, address, n in heard) for n, address in self._hall_peers.items()]
         far = [
             Peer(name, hall, address, False)
-            for hall, known in self._far.items()
+            for hall, known in self._remote_halls.items()
             for name, address in known.members.items()
         ]
         return near + far
@@ -202,69 +205,69 @@
     def send_near(self, message: PeerMessage) -> None:
         """Send a message to each other gateway of the hall."""
         data = msgspec.msgpack.encode(message)
-        for address in self._near.values():
+        for address in self._hall_peers.values():
             self._send(data, address)
 
     async def run(self) -> None:
-        """Report, for ever."""
+        """Send reports; never returns."""
         while True:
             await wait_set(self._changed, IDLE_INTERVAL_S)
             self._changed.clear()
-            self._forget_silent(self._near_reports)
-            self._forget_silent(self._hall_reports)
+            self._drop_silent(self._peer_loads)
+            self._drop_silent(self._hall_loads)
             self._members.forget_silent()
-            self._report()
+            self._send_reports()
             await asyncio.sleep(REPORT_INTERVAL_S)
 
-    def _take_load(self, report: LoadReport, addr: _Address) -> None:
+    def _handle_load(self, report: LoadReport, addr: _Address) -> None:
         if report.sender == self._name:
             return
-        self._note_heard(report.sender, self._hall, addr)
-        self._replace(self._near_reports, report.sender, report.in_hand, SILENT_AFTER_S)
-        self._take_health(report.served_age_s, report.refused_age_s)
+        self._record_sender(report.sender, self._hall, addr)
+        self._update_load(self._peer_loads, report.sender, report.in_hand, SILENT_AFTER_S)
+        self._update_health(report.served_age_s, report.refused_age_s)
         now_s = asyncio.get_running_loop().time()
         for incarnation, (unknown, age_s) in report.unknown.items():
             self._upstreams.note_unknown(incarnation, unknown, now_s - age_s)
-        self._take_limits(report.limits)
+        self._update_limits(report.limits)
         self._crashes.take_told(report.suspects)
         self._feed.note_peer(report.sender)
-        self._note_view(report.view, self._near.get(report.sender))
+        self._record_view(report.view, self._hall_peers.get(report.sender))
         if report.relay is not None:
             self._feed.note_relay(report.sender, report.relay)
         if self._feed.relay_state() is not None:
-            # What this relay tells other halls has changed too.
+            # The hall's total, which this relay reports to other halls, has changed too.
             self._changed.set()
         self._on_change()
 
-    def _take_hall(self, report: HallReport, addr: _Address) -> None:
+    def _handle_hall(self, report: HallReport, addr: _Address) -> None:
         if report.hall == self._hall:
             return
-        self._replace(self._hall_reports, report.hall, report.in_hand, HALL_SILENT_AFTER_S)
-        self._take_health(report.served_age_s, report.refused_age_s)
-        self._note_view(report.view, None if report.is_passed_on else addr)
+        self._update_load(self._hall_loads, report.hall, report.in_hand, HALL_SILENT_AFTER_S)
+        self._update_health(report.served_age_s, report.refused_age_s)
+        self._record_view(report.view, None if report.is_passed_on else addr)
         if not report.is_passed_on:
-            self._note_heard(report.sender, report.hall, addr)
-            hall = self._far.get(report.hall)
+            self._record_sender(report.sender, report.hall, addr)
+            hall = self._remote_halls.get(report.hall)
             if hall is not None:
-                hall.speaker, hall.heard_at_s = addr[:2], asyncio.get_running_loop().time()
+                hall.representative, hall.heard_at_s = addr[:2], asyncio.get_running_loop().time()
             self.send_near(msgspec.structs.replace(report, is_passed_on=True))
         self._on_change()
 
-    def _take_hall_signals(self, signals: HallSignals) -> None:
+    def _handle_hall_signals(self, signals: HallSignals) -> None:
         if signals.hall == self._hall:
             return
-        self._take_limits(signals.limits)
+        self._update_limits(signals.limits)
         self._crashes.take_told(signals.suspects)
         if not signals.is_passed_on:
             self.send_near(msgspec.structs.replace(signals, is_passed_on=True))
 
-    def _note_heard(self, name: str, hall: str, address: _Address) -> None:
-        """Note who speaks: it listens at the port that it sends from."""
+    def _record_sender(self, name: str, hall: str, address: _Address) -> None:
+        """Record the sender: a gateway listens at the port that it sends from."""
         if name:
             self._members.note_heard(name, Member(f"{address[0]}:{address[1]}", hall))
 
-    def _note_view(self, view: StoreView | None, address: _Address | None) -> None:
-        """Note what a gateway knows; it gives copies at the port of its datagrams."""
+    def _record_view(self, view: StoreView | None, address: _Address | None) -> None:
+        """Record a peer's store state; it serves copies at the port of its datagrams."""
         if view is None:
             return
         if view.revision:
@@ -273,7 +276,7 @@
         if address is not None:
             self._copies.note_told(f"{address[0]}:{address[1]}", view.revision)
 
-    def _take_health(
+    def _update_health(
         self, served_age_s: Mapping[str, float], refused_age_s: Mapping[str, float]
     ) -> None:
         now_s = asyncio.get_running_loop().time()
@@ -282,22 +285,22 @@
         for service, age_s in refused_age_s.items():
             self._health.note_refused(service, now_s - age_s)
 
-    def _take_limits(self, limits: Mapping[str, Limit]) -> None:
+    def _update_limits(self, limits: Mapping[str, Limit]) -> None:
         now_s = asyncio.get_running_loop().time()
         for incarnation, limit in limits.items():
             self._upstreams.note_limit_told(incarnation, limit.rate_per_s, now_s - limit.age_s)
 
     def _list_limits(self, now_s: float) -> dict[str, Limit]:
-        """Return the limits of upstreams, and for a while that there is none any more."""
+        """Return the limits of upstreams, and None for those whose limit ended recently."""
         limits = {}
         for upstream in self._upstreams:
             rate_per_s, age_s = upstream.said.limit_per_s, now_s - upstream.said.limit_told_at_s
-            if rate_per_s is not None or age_s < LIMIT_END_TOLD_S:
+            if rate_per_s is not None or age_s < LIMIT_END_REPORTED_S:
                 limits[upstream.listed.incarnation] = Limit(rate_per_s, round(age_s, 3))
         return limits
 
-    def _report(self) -> None:
-        if self._transport is None or not (self._near or self._far):
+    def _send_reports(self) -> None:
+        if self._transport is None or not (self._hall_peers or self._remote_halls):
             return
         now_s = asyncio.get_running_loop().time()
         in_hand = {u.listed.incarnation: u.in_hand for u in self._upstreams if u.in_hand}
@@ -318,60 +321,67 @@
         self.send_near(report)
         if not self._feed.speaks_for_hall():
             return
-        if now_s >= self._far_from_s:
+        if now_s >= self._next_total_at_s:
             total = HallReport(
-                self._hall, self._sum_hall(in_hand), served, refused, sender=self._name, view=view
+                self._hall,
+                self._sum_hall_load(in_hand),
+                served,
+                refused,
+                sender=self._name,
+                view=view,
+            )
+            self._next_total_at_s = (
+                now_s + self._send_to_halls(total, now_s) / self._remote_bytes_per_s
             )
-            self._far_from_s = now_s + self._send_halls(total, now_s) / self._far_bytes_per_s
-        if (limits or suspects) and now_s >= self._signals_from_s:
-            size = self._send_halls(HallSignals(self._hall, limits, suspects), now_s)
-            pause_s = size / (SIGNALS_SHARE * self._far_bytes_per_s)
-            self._signals_from_s = now_s + max(IDLE_INTERVAL_S, pause_s)
-
-    def _sum_hall(self, in_hand: Mapping[str, int]) -> dict[str, int]:
-        """Return what all gateways of the hall have in hand, with this one's own."""
+        if (limits or suspects) and now_s >= self._next_signals_at_s:
+            size = self._send_to_halls(HallSignals(self._hall, limits, suspects), now_s)
+            pause_s = size / (SIGNALS_SHARE * self._remote_bytes_per_s)
+            self._next_signals_at_s = now_s + max(IDLE_INTERVAL_S, pause_s)
+
+    def _sum_hall_load(self, in_hand: Mapping[str, int]) -> dict[str, int]:
+        """Return the requests in flight of all gateways of the hall, this one included."""
         total = Counter(in_hand)
-        for reported in self._near_reports.values():
-            total.update(reported.in_hand)
+        for load in self._peer_loads.values():
+            total.update(load.in_hand)
         return dict(total)
 
-    def _send_halls(self, message: HallReport | HallSignals, now_s: float) -> int:
-        """Send a message to each other hall; return the bytes that this takes."""
+    def _send_to_halls(self, message: HallReport | HallSignals, now_s: float) -> int:
+        """Send a message to each other hall; return the bytes sent, datagram headers included."""
         data = msgspec.msgpack.encode(message)
-        for hall in self._far.values():
-            self._send(data, hall.choose_address(now_s))
-        return (len(data) + DATAGRAM_HEAD_BYTES) * len(self._far)
+        for hall in self._remote_halls.values():
+            self._send(data, hall.select_address(now_s))
+        return (len(data) + DATAGRAM_HEAD_BYTES) * len(self._remote_halls)
 
     def _send(self, data: bytes, address: _Address) -> None:
         if self._transport is not None:
             self._transport.sendto(data, address)
 
-    def _replace(
+    def _update_load(
         self,
-        reports: dict[str, _Reported],
+        reports: dict[str, _PeerLoad],
         name: str,
         in_hand: Mapping[str, int],
         silent_after_s: float,
     ) -> None:
         before = reports.get(name)
         now_s = asyncio.get_running_loop().time()
-        reports[name] = _Reported(in_hand, now_s, silent_after_s)
+        reports[name] = _PeerLoad(in_hand, now_s, silent_after_s)
         for incarnation in {*in_hand, *(before.in_hand if before else ())}:
             change = in_hand.get(incarnation, 0)
             if before is not None:
                 change -= before.in_hand.get(incarnation, 0)
             self._upstreams.add_others(incarnation, change)
 
-    def _forget(self, reports: dict[str, _Reported], name: str) -> None:
+    def _drop(self, reports: dict[str, _PeerLoad], name: str) -> None:
         if name in reports:
-            self._replace(reports, name, {}, 0.0)
+            self._update_load(reports, name, {}, 0.0)
             del reports[name]
 
-    def _forget_silent(self, reports: dict[str, _Reported]) -> None:
+    def _drop_silent(self, reports: dict[str, _PeerLoad]) -> None:
         now_s = asyncio.get_running_loop().time()
-        for name, reported in list(reports.items()):
-            if now_s - reported.heard_at_s > reported.silent_after_s:
-                self._forget(reports, name)
+        for name, load in list(reports.items()):
+            if now_s - load.heard_at_s > load.silent_after_s:
+                self._drop(reports, name)
                 log_event(_LOG, "peer_silent", name=name)
 
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Check what gateways tell each other of their load, within a hall and between halls."""
+"""Check the load reports between gateways, within a hall and between halls."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 
 
 @dataclass
-class _Sent:
-    """Stand in for the socket and keep what was sent."""
+class _RecordingSocket:
+    """Stand-in for the socket that records the messages sent."""
 
     sent: list[tuple[PeerMessage, tuple[str, int]]] = field(default_factory=list)
 
@@ -47,7 +47,7 @@
     reports: PeerReports
     upstreams: UpstreamSet
     feed: HallFeed
-    socket: _Sent
+    socket: _RecordingSocket
     clock: ManualClock
     members: Members
     crashes: CrashWatch
@@ -87,7 +87,7 @@
             members=members,
             crashes=crashes,
         )
-        socket = _Sent()
+        socket = _RecordingSocket()
         peer_reports._transport = socket  # type: ignore[assignment]
         bench = _Bench(peer_reports, upstreams, feed, socket, clock, members, crashes)
         for name, address, hall in (
@@ -102,8 +102,8 @@
     asyncio.run(run())
 
 
-def test_a_report_that_comes_before_its_upstream_is_listed_counts_once_it_is() -> None:
-    """It was dropped, and the next one then took away what had never been added."""
+def test_report_before_upstream_is_listed_counts_once_listed() -> None:
+    """A report that was dropped here made the next one subtract a load that was never added."""
 
     async def scenario(bench: _Bench) -> None:
         bench.receive(_load("near", s1=2))
@@ -119,16 +119,16 @@
     _run(scenario)
 
 
-def test_only_the_relay_tells_other_halls_and_tells_the_sum() -> None:
+def test_only_the_relay_reports_the_hall_total_to_other_halls() -> None:
     async def scenario(bench: _Bench) -> None:
         bench.upstreams.put(_make_upstream("s1"))
         bench.receive(_load("near", s1=2))
         bench.receive(_load("near-2", s1=1))
-        bench.reports._report()
+        bench.reports._send_reports()
         assert {address for _, address in bench.socket.sent} == {NEAR, NEAR_2}
         bench.become_relay()
         bench.socket.sent.clear()
-        bench.reports._report()
+        bench.reports._send_reports()
         told = [m for m, address in bench.socket.sent if address in (FAR, FAR_2)]
         report = HallReport("hall-1", {"s1": 3}, {}, {}, sender="gw", view=bench.feed.view())
         assert told == [report]
@@ -136,7 +136,7 @@
     _run(scenario)
 
 
-def test_a_report_of_another_hall_is_counted_once_and_passed_on_once() -> None:
+def test_report_of_another_hall_is_counted_and_forwarded_once() -> None:
     async def scenario(bench: _Bench) -> None:
         bench.upstreams.put(_make_upstream("s1"))
         report = HallReport("hall-2", {"s1": 2}, {}, {})
@@ -151,26 +151,26 @@
     _run(scenario)
 
 
-def test_reports_go_to_who_speaks_for_a_hall_and_else_to_each_in_turn() -> None:
+def test_reports_go_to_hall_representative_or_each_gateway_in_turn() -> None:
     async def scenario(bench: _Bench) -> None:
         bench.become_relay()
         for _ in range(2):
-            bench.reports._far_from_s = 0.0
-            bench.reports._report()
+            bench.reports._next_total_at_s = 0.0
+            bench.reports._send_reports()
         far = [address for m, address in bench.socket.sent if isinstance(m, HallReport)]
         assert sorted(far) == [FAR, FAR_2]
         bench.receive(HallReport("hall-2", {}, {}, {}), FAR_2)
         bench.socket.sent.clear()
         for _ in range(3):
-            bench.reports._far_from_s = 0.0
-            bench.reports._report()
+            bench.reports._next_total_at_s = 0.0
+            bench.reports._send_reports()
         far = [address for m, address in bench.socket.sent if isinstance(m, HallReport)]
         assert far[-3:] == [FAR_2] * 3
 
     _run(scenario)
 
 
-def test_who_falls_silent_is_forgotten() -> None:
+def test_load_of_silent_gateways_is_dropped() -> None:
     async def scenario(bench: _Bench) -> None:
         bench.upstreams.put(_make_upstream("s1"))
         bench.receive(_load("near", s1=2))
@@ -178,91 +178,94 @@
         (upstream,) = bench.upstreams
         assert upstream.known_in_hand() == 3
         with replaced(reports.asyncio, "get_running_loop", lambda: _Later()):
-            bench.reports._forget_silent(bench.reports._near_reports)
-            bench.reports._forget_silent(bench.reports._hall_reports)
+            bench.reports._drop_silent(bench.reports._peer_loads)
+            bench.reports._drop_silent(bench.reports._hall_loads)
         assert upstream.known_in_hand() == 0
 
     _run(scenario)
 
 
 class _Later:
-    """Tell a time at which all that was heard is old."""
+    """Stand-in for the event loop whose time makes every report expired."""
 
     def time(self) -> float:
         return float("inf")
 
 
-def test_a_gateway_that_is_heard_is_told_though_the_store_lists_it_no_more() -> None:
+def test_unlisted_gateway_gets_reports_while_it_is_heard() -> None:
     async def scenario(bench: _Bench) -> None:
         bench.receive(_load("near"), NEAR)
         bench.members.note_listed("near", None)
         bench.members.note_listed("near-2", None)
-        bench.reports._report()
+        bench.reports._send_reports()
         assert [address for _, address in bench.socket.sent] == [NEAR]
-        # Silence takes it out of those that are told.
+        # Once silent, it is no longer sent reports.
         bench.socket.sent.clear()
         bench.clock.now_s += HEARD_LIFE_S + 0.1
         bench.members.forget_silent()
-        bench.reports._report()
+        bench.reports._send_reports()
         assert {address for _, address in bench.socket.sent} <= {FAR, FAR_2}
 
     _run(scenario)
 
 
-def test_a_gateway_that_the_store_never_listed_is_told_once_it_is_heard() -> None:
+def test_never_listed_gateway_gets_reports_once_it_is_heard() -> None:
     async def scenario(bench: _Bench) -> None:
-        newcomer, speaker = ("127.0.0.1", 8), ("127.0.0.1", 9)
+        newcomer, representative = ("127.0.0.1", 8), ("127.0.0.1", 9)
         bench.receive(_load("newcomer"), newcomer)
-        bench.receive(HallReport("hall-3", {}, {}, {}, sender="speaker"), speaker)
+        bench.receive(HallReport("hall-3", {}, {}, {}, sender="representative"), representative)
         bench.become_relay()
         bench.socket.sent.clear()
-        bench.reports._report()
+        bench.reports._send_reports()
         told = {address for _, address in bench.socket.sent}
-        assert {newcomer, speaker} <= told
-        assert set(bench.members.there) >= {"newcomer", "speaker"}
+        assert {newcomer, representative} <= told
+        assert set(bench.members.there) >= {"newcomer", "representative"}
 
     _run(scenario)
 
 
-def test_a_hall_without_a_relay_is_spoken_for_by_its_first() -> None:
+def test_first_gateway_by_name_reports_for_a_hall_without_relay() -> None:
     async def scenario(bench: _Bench) -> None:
         bench.clock.now_s += 10.0
         bench.receive(_load("near"), NEAR)
-        bench.reports._report()
+        bench.reports._send_reports()
         assert any(isinstance(m, HallReport) for m, _ in bench.socket.sent)
-        # Another whose name comes earlier does it where one is heard.
+        # A gateway with a smaller name takes over once it is heard.
         bench.socket.sent.clear()
         bench.receive(_load("a-first"), NEAR)
-        bench.reports._far_from_s = 0.0
-        bench.reports._report()
+        bench.reports._next_total_at_s = 0.0
+        bench.reports._send_reports()
         assert not any(isinstance(m, HallReport) for m, _ in bench.socket.sent)
 
     _run(scenario)
 
 
-def test_limits_and_suspicions_do_not_wait_for_the_sums_of_loads() -> None:
-    """At the size in two years a sum goes to another hall once in 13 s; these have 3 s."""
+def test_limits_and_suspicions_do_not_wait_for_load_totals() -> None:
+    """At the size planned for in two years a hall's load total goes out once in 13 s.
+
+    Limits and suspicions must reach other halls within 3 s, so they are sent separately.
+    """
 
     async def scenario(bench: _Bench) -> None:
         bench.upstreams.put(_make_upstream("s1"))
         (upstream,) = bench.upstreams
         bench.become_relay()
-        bench.reports._far_from_s = float("inf")
-        bench.reports._report()
+        bench.reports._next_total_at_s = float("inf")
+        bench.reports._send_reports()
         assert {address for _, address in bench.socket.sent} == {NEAR, NEAR_2}
         bench.socket.sent.clear()
         bench.upstreams.note_limit(upstream, 2.0, asyncio.get_running_loop().time())
-        bench.reports._report()
+        bench.reports._send_reports()
         told = [m for m, address in bench.socket.sent if address in (FAR, FAR_2)]
         assert len(told) == 1 and isinstance(told[0], HallSignals)
         assert told[0].limits["s1"].rate_per_s == 2.0
-        bench.reports._report()
+        bench.reports._send_reports()
         assert len([a for _, a in bench.socket.sent if a in (FAR, FAR_2)]) == 1
 
     _run(scenario)
 
 
-def test_what_another_hall_tells_of_limits_goes_no_further_than_this_one() -> None:
+def test_signals_of_another_hall_are_not_forwarded_to_third_halls() -> None:
     async def scenario(bench: _Bench) -> None:
         bench.upstreams.put(_make_upstream("s1"))
         suspicion = Suspicion({"s9": 0.1, "s8": 0.1, "s7": 0.1})
