--- a/dalehollow/gateway/groups.py
+++ b/dalehollow/gateway/groups.py
@@ -1,4 +1,4 @@
-"""Tell which upstreams are the ranks of one group, as the list of upstreams has them now."""
+"""Map the ranks of a group to upstream addresses, from the current list of upstreams."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclass
 class GroupRanks(Mapping[int, str]):
-    """Read the addresses of one group's ranks.
+    """Mapping from rank to address for one group.
 
-    A restarted rank is listed twice until its old entry lapses: the newer epoch tells which one is
-    the rank. Entries that contradict each other in any other way are logged once, and the group
-    then reads as having no ranks, so that it is served but not planned.
+    A restarted rank is listed twice until its old entry lapses; the entry with the newer epoch is
+    used. Any other contradiction between entries is logged once, and the mapping is then empty, so
+    that the group is served but not planned.
     """
 
     upstreams: UpstreamSet
@@ -27,28 +27,28 @@
     _contradiction: str = field(default="", init=False)
 
     def read(self) -> Mapping[int, str]:
-        """Return the addresses by rank, or nothing while a rank is missing or in doubt."""
+        """Return the addresses by rank; empty while a rank is missing or entries contradict."""
         listed = [u.listed for u in self.upstreams.of_group(self.group_key)]
         newest: dict[int, ListedUpstream] = {}
         contradiction = ""
         for entry in listed:
             other = newest.get(entry.group_rank)
             if other is not None and other.group_epoch == entry.group_epoch:
-                contradiction = f"{other.incarnation} and {entry.incarnation} are both one rank"
+                contradiction = f"{other.incarnation} and {entry.incarnation} have the same rank"
             if other is None or entry.group_epoch > other.group_epoch:
                 newest[entry.group_rank] = entry
         sizes = {entry.group_size for entry in newest.values()}
         if len(sizes) > 1:
-            contradiction = f"sizes {sorted(sizes)} are told"
+            contradiction = f"entries give different group sizes: {sorted(sizes)}"
         size = max(sizes, default=0)
         if any(not 0 <= rank < size for rank in newest):
             contradiction = f"ranks {sorted(newest)} are listed in a group of {size}"
-        self._note_contradiction(contradiction)
+        self._log_contradiction(contradiction)
         if contradiction or len(newest) < size:
             return {}
         return {rank: entry.address for rank, entry in newest.items()}
 
-    def _note_contradiction(self, contradiction: str) -> None:
+    def _log_contradiction(self, contradiction: str) -> None:
         if contradiction and contradiction != self._contradiction:
             log_event(
                 _LOG,
@@ -64,7 +64,7 @@
         return self.read()[rank]
 
     def __iter__(self) -> Iterator[int]:
-        """Go through the ranks."""
+        """Iterate over the ranks."""
         return iter(self.read())
 
     def __len__(self) -> int:
--- a/dalehollow/gateway/planner.py
+++ b/dalehollow/gateway/planner.py
@@ -1,4 +1,4 @@
-"""Plan the expert map of one rank group while this gateway holds the duty for it."""
+"""Plan the expert map of one rank group while this gateway holds its duty."""
 
 from __future__ import annotations
 
@@ -22,34 +22,34 @@
 from dalehollow.telemetry.logs import log_event
 
 VERSIONS_PER_FENCE = 1_000_000
-"""A version holds the planner's fence above its own count, so that two planners never give the
-same version to different maps, and ranks refuse the older planner's."""
+"""A map version is `fence * VERSIONS_PER_FENCE + count`, so that two planners never assign the same
+version to different maps, and ranks refuse maps of the older planner."""
 MIN_WAIT_S = 0.05
 MAX_WAIT_S = 0.5
-"""Bounds of the pause until a switch has taken place: about the shortest pass, and three long ones.
-An idle group makes no passes, so that what is expected may be far too long."""
+"""Bounds of the pause until a switch takes place: about the shortest pass, and three long ones. An
+idle group makes no passes, so the expected time may be far too long."""
 SWITCH_TRIES = 3
 COPY_MARGIN = 1.2
 MIN_SAMPLED_RANKS = 2
-TAKE_STEP_S = 0.05
-MAX_TAKE_STEPS = 20
-"""Gateways that see a duty become vacant try for it in turn, in an order that differs by duty: most
-need not, and the duties of many groups fall to many gateways."""
+TAKE_DELAY_S = 0.05
+MAX_TAKE_DELAYS = 20
+"""Gateways try to take a vacant duty in turn, in an order that differs by duty: most need not try,
+and the duties of many groups are spread over many gateways."""
 PREPARE_TRIES = 4
 WINDOW_S = 0.3
-"""Two readings so far apart make a window: some passes, with several requests at each rank."""
+"""Length of a demand window: some passes, with several requests at each rank."""
 EPOCH_RETRY_S = 0.1
-"""Reports are some hundred ms old: those of a group that has just opened still show it broken."""
+"""Reports are some 100 ms old: those of a group that has just opened still show it broken."""
 LONGEST_WINDOW_S = 0.6
-"""A longer window may mix the demand of two times, and says too late what there is now."""
+"""A longer window may mix old and new demand, and detects a shift too late."""
 
 PRESSED_FOR_S = 60.0
-"""Once pauses have pressed, looks stay frequent for so long: counts show a turn of demand half a
-second to a second before passes do, for streams in hand end with the experts they began with.
-Where no pause presses, maps are good enough as they are: frequent looks would cost 0.05 of the
-worth of a day that is served in time anyway."""
+"""The pressed terms apply for this time after a pause came near the limit. Counts show a demand
+shift 0.5 s to 1 s before passes do, since streams in flight end with the experts they began with.
+While no pause is near the limit the maps are good enough, and frequent rounds would cost 0.05 of
+the value of a day whose requests are served in time anyway."""
 SLOW_PACE = 1.5
-"""A rank that takes so many times longer than usual gets no requests while others have slots."""
+"""A rank slower than usual by this factor gets no requests while other ranks have free slots."""
 MAX_SLOW_SHARE = 0.25
 
 _MS_PER_S = 1000
@@ -58,29 +58,29 @@
 
 
 class Duties(Protocol):
-    """Name what a planner needs of the keeper of duties."""
+    """The operations on duties that a planner needs."""
 
     def fence(self, duty: str) -> int | None:
-        """Return the fence of a duty that is surely held now, or None."""
+        """Return the fence of a duty, None unless it is known to be held by this gateway now."""
 
     async def take_duty(self, duty: str) -> bool:
-        """Try to take a duty that nobody holds."""
+        """Try to take a vacant duty; return whether it was taken."""
 
     async def drop_duty(self, duty: str, why: str) -> None:
-        """Give a duty up."""
+        """Release a duty."""
 
     async def keep_plan(self, duty: str, plan: KeptPlan) -> None:
-        """Keep what a plan was made for."""
+        """Store the demand and the slow ranks that a plan is based on."""
 
 
 @dataclass
 class GroupPlanner:
-    """Hold the planner of one group; `ranks` gives the addresses by rank, all of them or none."""
+    """Planner of one group; `ranks` returns the addresses of all ranks, or an empty mapping."""
 
     duty: str
     duties: Duties
     holder: Callable[[], str | None]
-    # How many gateways try for the duty before this one.
+    # Number of gateways that try to take the duty before this one.
     turn: Callable[[], int]
     port: RankPort
     ranks: Callable[[], Mapping[int, str]]
@@ -89,7 +89,7 @@
     rng: random.Random
     pass_times: PassTimes
     load: Callable[[], float]
-    # The longest pause between pieces that callers take well, 0 where none is known.
+    # Longest pause between stream pieces that callers tolerate, 0 if unknown.
     pause_objective_s: Callable[[], float]
     current: GroupMap | None = None
     changes: int = 0
@@ -102,142 +102,146 @@
     _kept: list[list[float]] = field(default_factory=list)
     _pressed_until_s: float = float("-inf")
     _is_stopping: bool = False
-    _must_look: bool = False
+    _round_requested: bool = False
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
-    _next_pause_s: float | None = 0.0
+    _next_round_in_s: float | None = 0.0
     _is_slower: bool = False
     _read_at_s: float = float("-inf")
-    _lost_orders: bool = False
-    # The step at which the last switch takes place: until then ranks refuse another map.
+    _has_unanswered_orders: bool = False
+    # Step at which the last switch takes effect; until then ranks refuse another map.
     _switch_step: int = 0
     _paces: list[float] = field(default_factory=list)
-    _slow: tuple[int, ...] = ()
+    _stored_slow_ranks: tuple[int, ...] = ()
 
     def __post_init__(self) -> None:
-        """Begin without demand."""
+        """Create the demand window and the step clock."""
         self._window = DemandWindow(self.policy.memory)
         self._steps = StepClock(self.pass_times)
         self.pass_times.on_slower = self._note_slower
 
     def stop(self) -> None:
-        """Plan no more; a switch in hand is brought to its end, then the duty is given up."""
+        """Stop planning; a switch in progress is completed, then the duty is released."""
         self._is_stopping = True
         self._wake.set()
 
     def note_kept_demand(self, demand: Demand) -> None:
-        """Take in what some planner last planned for; the own readings go first."""
+        """Set the demand of the last stored plan, used until this planner has its own window."""
         self._kept = [list(map(float, layer)) for layer in demand]
 
     async def run(self) -> None:
-        """Look at the group at intervals while the duty is held, and try to take it otherwise."""
+        """Run planning rounds while the duty is held, and try to take it otherwise."""
         while not self._is_stopping:
-            await self._pause()
+            await self._wait_for_round()
             fence = self.duties.fence(self.duty)
             if self._is_stopping:
                 break
             if fence is None:
                 self._epoch = -1
-                await self._try_take()
+                await self._try_take_duty()
             elif self.ranks():
-                await self._round(fence)
+                await self._run_round(fence)
         await self.duties.drop_duty(self.duty, "planned stop")
 
-    async def _pause(self) -> None:
-        """Wait until the next look is due by the terms as they change, or is called for."""
+    async def _wait_for_round(self) -> None:
+        """Wait until the next round is due under the current terms, or is requested."""
         clock = asyncio.get_running_loop().time
         began_s = clock()
-        while (left_s := began_s + self._pause_s() - clock()) > 0:
+        while (left_s := began_s + self._time_to_round_s() - clock()) > 0:
             if await wait_set(self._wake, min(left_s, self.policy.pressed.interval_s)):
                 break
         self._wake.clear()
-        self._must_look = False
-        self._next_pause_s = None
-
-    def _pause_s(self) -> float:
-        return self._terms().interval_s if self._next_pause_s is None else self._next_pause_s
+        self._round_requested = False
+        self._next_round_in_s = None
+
+    def _time_to_round_s(self) -> float:
+        return (
+            self._select_terms().interval_s
+            if self._next_round_in_s is None
+            else self._next_round_in_s
+        )
 
-    def _terms(self) -> PlanTerms:
-        """Return the terms by the longest pauses of the last minute."""
+    def _select_terms(self) -> PlanTerms:
+        """Return the terms for the longest pauses within `PRESSED_FOR_S`."""
         now_s = asyncio.get_running_loop().time()
         if self.policy.is_pressing(self._steps.longest_s(), self.pause_objective_s()):
             self._pressed_until_s = now_s + PRESSED_FOR_S
         return self.policy.pressed if now_s < self._pressed_until_s else self.policy.calm
 
     def note_epoch(self, epoch: int) -> None:
-        """Look at once: the group has opened anew, with its first map."""
+        """Request a round now if the group has reopened, with its initial map."""
         if epoch != self._epoch:
-            self._look_at_once()
+            self._request_round()
 
     def _note_slower(self) -> None:
-        """Look soon: passes last longer than they did with this map."""
+        """Request a round: passes take longer than before with this map."""
         if not self._is_slower:
             self._is_slower = True
             self._wake.set()
 
     def note_vacancy(self) -> None:
-        """Look at once: nobody holds the duty any more."""
-        self._look_at_once()
+        """Request a round now: the duty is vacant."""
+        self._request_round()
 
-    def _look_at_once(self) -> None:
-        self._must_look = True
+    def _request_round(self) -> None:
+        self._round_requested = True
         self._wake.set()
 
-    async def _try_take(self) -> None:
+    async def _try_take_duty(self) -> None:
         if self.holder() is not None or not self.ranks():
             return
-        steps = min(MAX_TAKE_STEPS, self.turn()) + self.rng.random()
-        await asyncio.sleep(steps * TAKE_STEP_S)
+        steps = min(MAX_TAKE_DELAYS, self.turn()) + self.rng.random()
+        await asyncio.sleep(steps * TAKE_DELAY_S)
         if self.holder() is None and await self.duties.take_duty(self.duty):
             self._wake.set()
 
-    async def _round(self, fence: int) -> None:
+    async def _run_round(self, fence: int) -> None:
         read = await self._read_counts()
         if not read:
             return
         epoch = max(counts.epoch for counts in read.values())
         if epoch == self._epoch and self._steps.is_standing_still and self.load() > 0:
-            await self._end_holds(fence)
+            await self._settle_holds(fence)
         is_begun = epoch != self._epoch
         if is_begun and not await self._begin_epoch(epoch, fence):
-            self._next_pause_s = EPOCH_RETRY_S
+            self._next_round_in_s = EPOCH_RETRY_S
             return
-        if self._is_slower or self._slow or self._steps.is_suspect():
-            await self._read_paces()
-        window_s = self._window_s()
+        if self._is_slower or self._stored_slow_ranks or self._steps.is_suspect():
+            await self._update_paces()
+        window_s = self._advance_window_s()
         known = self._window.demand or self._kept
         if is_begun and known:
-            # The group begins with its first map: what was in demand before it broke still is.
+            # The group starts with its initial map; the demand from before it broke still holds.
             self._window.begin(read)
             await self._improve(fence, known)
-            self._next_pause_s = WINDOW_S
+            self._next_round_in_s = WINDOW_S
             return
         if window_s > LONGEST_WINDOW_S:
-            # Demand may have turned since: begin a window now.
+            # Demand may have shifted since: start a new window.
             self._window.begin(read)
-            self._next_pause_s = WINDOW_S
+            self._next_round_in_s = WINDOW_S
             return
-        is_new = self._window.add(read, self._rate_longest)
+        is_new = self._window.add(read, self._relative_longest)
         self._is_slower = False
         if not self._steps.has_begun(self._switch_step):
-            self._next_pause_s = self._switch_wait_s()
+            self._next_round_in_s = self._switch_wait_s()
         elif is_new:
             await self._improve(fence, self._window.demand)
         if not self._window.demand:
-            self._next_pause_s = WINDOW_S
+            self._next_round_in_s = WINDOW_S
 
     def _switch_wait_s(self) -> float:
-        """Return how long to wait for the last switch to take place."""
+        """Return the expected time until the last switch takes effect, within bounds."""
         return max(MIN_WAIT_S, min(MAX_WAIT_S, self._steps.wait_s(self._switch_step)))
 
-    def _rate_longest(self, demand: Demand | list[list[float]]) -> float:
-        """Return the longest rank of the map in force over the mean, on average of the layers."""
+    def _relative_longest(self, demand: Demand | list[list[float]]) -> float:
+        """Return the load of the most loaded rank over the mean, averaged over the layers."""
         assert self.current is not None
         layers = zip(self.current, demand, strict=True)
         longest = [max(layer_loads(layer, wanted)) for layer, wanted in layers]
         return sum(longest) / len(longest)
 
-    async def _end_holds(self, fence: int) -> None:
-        """End a hold whose order was carried out late, when nobody waited for it any more."""
+    async def _settle_holds(self, fence: int) -> None:
+        """Settle a hold that a rank applied late, after its planner had stopped waiting for it."""
         assert self.current is not None
         ranks = sorted(self.ranks())
         reports = await asyncio.gather(*(self.port.read_report(rank) for rank in ranks))
@@ -246,10 +250,10 @@
             return
         log_event(_LOG, "group_held", logging.WARNING, duty=self.duty, epoch=self._epoch)
         if not await settle_switch(self.port, known, self.current, self._next_version(fence)):
-            await self.duties.drop_duty(self.duty, "a hold is unresolved")
+            await self.duties.drop_duty(self.duty, "hold could not be settled")
 
-    def _window_s(self) -> float:
-        """Return how long the window is that a reading now closes."""
+    def _advance_window_s(self) -> float:
+        """Return the time since the last read, and start the next window."""
         now_s = asyncio.get_running_loop().time()
         window_s, self._read_at_s = now_s - self._read_at_s, now_s
         return window_s
@@ -266,7 +270,7 @@
         return found
 
     async def _begin_epoch(self, epoch: int, fence: int) -> bool:
-        """Learn the map in force, and settle what another planner may have left open."""
+        """Read the map in force, and settle a switch that another planner left open."""
         ranks = sorted(self.ranks())
         reports = await asyncio.gather(*(self.port.read_report(rank) for rank in ranks))
         known = {rank: r for rank, r in zip(ranks, reports, strict=True) if r is not None}
@@ -279,7 +283,7 @@
             return False
         next_version = self._next_version(fence)
         if not await settle_switch(self.port, known, current, next_version):
-            await self.duties.drop_duty(self.duty, "another planner's switch is unresolved")
+            await self.duties.drop_duty(self.duty, "another planner's switch could not be settled")
             return False
         if any(r.armed_version for r in known.values()):
             return False
@@ -303,12 +307,12 @@
 
     async def _improve(self, fence: int, demand: list[list[float]]) -> None:
         assert self.current is not None
-        terms = self._terms()
+        terms = self._select_terms()
         bounds = choose_bounds(self.policy, terms, self.figures, len(self.current[0]), self.load())
         improved: tuple[Improved, ...] = ()
         for found in improve_layers(self.current, demand, bounds, self._paces):
             improved = found
-            # A plan takes some ms: streams are relayed in between.
+            # Planning takes some ms: yield so that streams are relayed in between.
             await asyncio.sleep(0)
         before = sum(i.longest_before for i in improved) / len(improved)
         after = sum(i.longest_after for i in improved) / len(improved)
@@ -328,35 +332,38 @@
         planned = tuple(i.layer for i in improved)
         most_copied = _count_most_copied(self.current, planned)
         copy_s = most_copied * self.figures.copy_s * COPY_MARGIN
-        outcome = await self._carry_out(planned, copy_s, fence)
+        outcome = await self._apply_map(planned, copy_s, fence)
         log_event(_LOG, "map_switch", duty=self.duty, outcome=outcome, epoch=self._epoch)
         if outcome is SwitchOutcome.SWITCHED:
             self.current = planned
             self.pass_times.settle()
             self._is_slower = False
-            if not self._must_look:
-                # Passes were long under the map before; the new one is looked at in its turn.
+            if not self._round_requested:
+                # The wake-up came from long passes under the previous map; the new map is
+                # evaluated in the next regular round.
                 self._wake.clear()
             self.changes += 1
             self.copies += copies
             if most_copied >= bounds.rank_copies:
-                # There was more to gain than fits one change: go on with the next window.
-                self._next_pause_s = max(WINDOW_S, self._switch_wait_s())
+                # The copy limit cut the change short: continue with the next window.
+                self._next_round_in_s = max(WINDOW_S, self._switch_wait_s())
             await self._keep_plan(demand)
         elif outcome is SwitchOutcome.UNRESOLVED:
-            await self.duties.drop_duty(self.duty, "a switch is unresolved")
+            await self.duties.drop_duty(self.duty, "switch could not be settled")
 
     async def _keep_plan(self, demand: list[list[float]]) -> None:
-        self._slow = self._list_slow()
-        await self.duties.keep_plan(self.duty, KeptPlan(scale_demand(demand), self._slow))
+        self._stored_slow_ranks = self._find_slow_ranks()
+        await self.duties.keep_plan(
+            self.duty, KeptPlan(scale_demand(demand), self._stored_slow_ranks)
+        )
 
-    def _list_slow(self) -> tuple[int, ...]:
+    def _find_slow_ranks(self) -> tuple[int, ...]:
         slow = tuple(rank for rank, pace in enumerate(self._paces) if pace >= SLOW_PACE)
-        # Where most are slow there is nowhere to go.
+        # If many ranks are slow, there are too few others to take their requests.
         return slow if len(slow) <= MAX_SLOW_SHARE * len(self._paces) else ()
 
-    async def _read_paces(self) -> None:
-        """Learn which ranks are slow for their own reasons, whatever they hold."""
+    async def _update_paces(self) -> None:
+        """Read which ranks are slow regardless of the experts they hold."""
         ranks = sorted(self.ranks())
         reports = await asyncio.gather(*(self.port.read_report(rank) for rank in ranks))
         paces = [r.pace if r is not None else 1.0 for r in reports]
@@ -364,16 +371,17 @@
         if [p >= SLOW_PACE for p in paces] != [p >= SLOW_PACE for p in usual]:
             log_event(_LOG, "paces_changed", duty=self.duty, paces=",".join(map(str, paces)))
         self._paces = paces
-        if self._slow != self._list_slow():
-            # Told at once, without waiting for a plan: requests are the larger part of its work.
+        if self._stored_slow_ranks != self._find_slow_ranks():
+            # Stored at once, without waiting for a plan: the requests sent to a rank are the larger
+            # part of its work.
             await self._keep_plan(self._window.demand or self._kept)
 
-    async def _carry_out(self, planned: GroupMap, copy_s: float, fence: int) -> SwitchOutcome:
-        """Have all ranks copy what a map needs, which takes `copy_s`, and switch to it."""
+    async def _apply_map(self, planned: GroupMap, copy_s: float, fence: int) -> SwitchOutcome:
+        """Have all ranks copy the experts of a map, which takes `copy_s`, and switch to it."""
         assert self.current is not None
         ranks = sorted(self.ranks())
         version = self._next_version(fence)
-        self._lost_orders = False
+        self._has_unanswered_orders = False
         replies = await asyncio.gather(*(self._prepare(r, version, planned) for r in ranks))
         if any(reply is not OrderReply.TAKEN for reply in replies):
             return SwitchOutcome.ABANDONED
@@ -383,7 +391,10 @@
             if self.duties.fence(self.duty) != fence:
                 return SwitchOutcome.ABANDONED
             proposal = Proposal(
-                version, self._steps.choose_step(self._lost_orders), self._epoch, self.current
+                version,
+                self._steps.choose_step(self._has_unanswered_orders),
+                self._epoch,
+                self.current,
             )
             outcome = await switch_map(self.port, ranks, proposal)
             if outcome is SwitchOutcome.SWITCHED:
@@ -401,12 +412,12 @@
             reply = await self.port.prepare(rank, version, planned, self._epoch)
             if reply is not OrderReply.UNANSWERED:
                 break
-            self._lost_orders = True
+            self._has_unanswered_orders = True
         return reply
 
 
 def _count_most_copied(current: GroupMap, planned: GroupMap) -> int:
-    """Return how many experts are new to the rank with the most of them, over all layers."""
+    """Return the largest number of experts that any rank must copy, over all layers."""
     copied = [0] * len(planned[0])
     for old, new in zip(current, planned, strict=True):
         for rank, (before, after) in enumerate(zip(old, new, strict=True)):
--- a/dalehollow/gateway/planners.py
+++ b/dalehollow/gateway/planners.py
@@ -1,4 +1,4 @@
-"""Hold the planners of all rank groups that a gateway knows, and who holds the duty of each."""
+"""Planners of all rank groups that a gateway knows, and the gateway that holds each duty."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class GroupPlanners:
-    """Start a planner for each group, and tell it what the store says."""
+    """Start a planner for each group, and forward changes of the store to it."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         session: Session,
         members: Mapping[str, Member],
     ) -> None:
-        """Prepare; `members` are the gateways that are listed, by name."""
+        """Create an empty set; `members` are the gateways by name."""
         self._settings = settings
         self._state = state
         self._session = session
@@ -42,7 +42,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def plan_group_of(self, listed: ListedUpstream) -> None:
-        """Start the planner of a rank's group, once its service's experts are known."""
+        """Start the planner of a rank's group, if its service's expert figures are known."""
         key, table = listed.group_key, self._state.table
         if not listed.group or table is None or key in self.by_group:
             return
@@ -54,20 +54,20 @@
         self.tasks.append(keep_running(f"planner-{key}", self.by_group[key].run))
 
     def note_epoch(self, listed: ListedUpstream) -> None:
-        """Tell a group's planner of its new epoch."""
+        """Notify a group's planner of a new epoch."""
         if listed.group_key in self.by_group:
             self.by_group[listed.group_key].note_epoch(listed.group_epoch)
 
     def note_plan(self, duty: str, plan: KeptPlan) -> None:
-        """Take in what the map of a group was last planned for."""
-        # A duty bears the key of its group.
+        """Apply a stored plan: the demand and the slow ranks that a group's map is based on."""
+        # A duty has the key of its group.
         self._state.upstreams.note_slow_ranks(duty, plan.slow_ranks)
         self._state.move_from_slow_ranks(duty)
         if duty in self.by_group:
             self.by_group[duty].note_kept_demand(plan.demand)
 
     def note_holder(self, duty: str, holder: str | None) -> None:
-        """Take in who holds a duty, None for nobody."""
+        """Record the holder of a duty, None if it is vacant."""
         if holder is None:
             self.holders.pop(duty, None)
             if duty in self.by_group:
@@ -76,7 +76,7 @@
             self.holders[duty] = holder
 
     def stop(self) -> None:
-        """Have every planner end."""
+        """Stop every planner."""
         for planner in self.by_group.values():
             planner.stop()
 
@@ -100,10 +100,10 @@
         )
 
     def _count_duty_turn(self, group_key: str) -> int:
-        """Return how many gateways come before this one for the duty of a group.
+        """Return how many gateways try to take the duty of a group before this one.
 
-        Those of the hall where most of its ranks stand come first: their streams tell how long
-        its passes last, and their orders and counts cross no hall.
+        Gateways of the hall with most of its ranks come first: they measure the group's passes
+        from their own streams, and their orders and counts do not cross halls.
         """
         home = self._state.upstreams.home_hall(group_key)
         own_name, own_hall = self._settings.name, self._settings.hall
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -253,17 +253,17 @@
         calm, pressed = PlanTerms(4.0, 0.3, 0.0), PlanTerms(0.5, 0.1, 0.0)
         planner.policy = PlanPolicy(calm, pressed, 0.5, 0.5, memory=0, copy_s=1.0)
         planner.pause_objective_s = lambda: 0.1
-        assert planner._terms() is calm
+        assert planner._select_terms() is calm
         for _ in range(10):
             planner.pass_times.note_pause(0.04)
-        assert planner._terms() is calm
+        assert planner._select_terms() is calm
         for _ in range(10):
             planner.pass_times.note_pause(0.09)
-        assert planner._terms() is pressed
+        assert planner._select_terms() is pressed
         planner.pass_times._pieces.clear()
-        assert planner._terms() is pressed
+        assert planner._select_terms() is pressed
         planner._pressed_until_s = now_s
-        assert planner._terms() is calm
+        assert planner._select_terms() is calm
 
     _run(scenario)
 
