--- a/dalehollow/gateway/demand.py
+++ b/dalehollow/gateway/demand.py
@@ -1,4 +1,4 @@
-"""Learn which experts are in demand from the counts of a few ranks."""
+"""Estimate the demand for experts from the counters of sampled ranks."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from dalehollow.groups.ranks import RankCounts
 
 MIN_COUNTS = 400
-"""Counts of one layer below which a window says nothing: a few requests' worth."""
+"""Minimum counts per layer for a window to be significant: those of a few requests."""
 TURNED = 1.4
-"""The map in force is so many times longer under a window than under what was remembered when
-demand has turned: windows of one time differ by up to 1.35, a turn makes it 1.5 to 2.5."""
+"""Demand has shifted if the longest rank under a window exceeds that under the remembered demand by
+this factor: windows of unchanged demand differ by up to 1.35, a shift gives 1.5 to 2.5."""
 KEPT_SCALE = 1_000
-"""A kept demand is scaled to whole thousandths of a layer's total: finer than any plan needs."""
+"""A stored demand is rounded to thousandths of a layer's total: finer than any plan needs."""
 
 Demand = tuple[tuple[int, ...], ...]
 
 
 @dataclass
 class DemandWindow:
-    """Hold the demand seen at the sampled ranks since it last turned, the newest counting most.
+    """Weighted demand at the sampled ranks since it last shifted, newest windows weighing most.
 
-    A window holds few prompts, so a map planned from one alone follows their chance: remembered
-    windows even that out, until a window shows that demand has turned.
+    A window covers few prompts, so a map planned from one alone would fit their noise. Earlier
+    windows average it out, until a window shows that demand has shifted.
     """
 
     memory: float
@@ -32,7 +32,7 @@
     _last: dict[int, RankCounts] = field(default_factory=dict)
 
     def begin(self, read: Mapping[int, RankCounts]) -> None:
-        """Begin a window and forget what was counted before."""
+        """Start a window; counts before it are not used."""
         self._last.update(read)
 
     def add(
@@ -40,9 +40,10 @@
         read: Mapping[int, RankCounts],
         rate_longest: Callable[[list[list[float]]], float],
     ) -> bool:
-        """Add what was chosen since the last reading; return whether it says something.
+        """Add the counts since the last read; return whether they are significant.
 
-        `rate_longest` tells how long the longest rank of the map in force is under a demand.
+        `rate_longest` returns the relative load of the longest rank of the map in force under a
+        demand.
         """
         window: list[list[float]] = []
         for rank, counts in read.items():
@@ -57,13 +58,13 @@
             window = _add_layers(window, change, 1.0) if window else change
         if not window or sum(window[0]) < MIN_COUNTS:
             return False
-        has_turned = not self.demand or rate_longest(window) > TURNED * rate_longest(self.demand)
-        if has_turned or self._may_be_mixed:
+        has_shifted = not self.demand or rate_longest(window) > TURNED * rate_longest(self.demand)
+        if has_shifted or self._may_be_mixed:
             self.demand = window
         else:
             self.demand = _add_layers(window, self.demand, self.memory)
-        # A window in which demand turned holds some of both times: the next one replaces it.
-        self._may_be_mixed = has_turned
+        # A window in which demand shifted mixes old and new demand: the next one replaces it.
+        self._may_be_mixed = has_shifted
         return True
 
 
@@ -77,7 +78,7 @@
 
 
 def scale_demand(demand: list[list[float]]) -> Demand:
-    """Return a demand as it is kept for planners to come."""
+    """Return a demand as integers, as stored for later planners."""
     totals = [sum(layer) or 1.0 for layer in demand]
     return tuple(
         tuple(round(value * KEPT_SCALE / total) for value in layer)
--- a/dalehollow/gateway/plan_policy.py
+++ b/dalehollow/gateway/plan_policy.py
@@ -1,4 +1,4 @@
-"""Decide how eagerly a group's expert map is planned, and within which bounds."""
+"""Policy for planning a group's expert map: how often, for which gain, and within which bounds."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from dalehollow.groups.place import Bounds
 
 MIN_LOAD = 0.3
-"""A copy must bring more the fewer requests gain by it; below this load no more than that."""
+"""Copies must gain more at low load, where fewer requests benefit; loads below this count as it."""
 
 
 @dataclass(frozen=True)
 class PlanTerms:
-    """Hold how often to look, and what makes a change worth while.
+    """Interval between planning rounds, and the thresholds for a change.
 
-    A change must take `begin_gain` off the longest rank, as a share of it. `copy_price_mb` is what
-    each copied megabyte must take off it, as a share of the mean load, in a group of one layer
-    and one rank: all ranks gain by what is taken off, and it is the smaller a part of a pass the
-    more layers there are.
+    A change must reduce the load of the most loaded rank by the share `begin_gain`. `copy_price_mb`
+    is the reduction that each copied megabyte must bring, as a share of the mean load, in a group
+    of one layer and one rank. The price is scaled by layers / ranks: all ranks gain by a reduction,
+    and the more layers there are, the smaller its part of a pass.
     """
 
     interval_s: float
@@ -28,13 +28,13 @@
 
 @dataclass(frozen=True)
 class PlanPolicy:
-    """Hold the terms for calm times, and those for when passes press on what callers allow.
+    """Terms for normal operation, and for passes close to the pause that callers tolerate.
 
-    Passes press from `pressed_share` of the longest pause between pieces that callers take well:
-    then each one that is a little longer makes streams late, and a shorter one is worth its
-    orders. `sampled_share` of the ranks is read; `memory` is what the last demand counts beside
-    the newest. In one change no rank copies for longer than `copy_s`, or more than one expert
-    where that takes longer.
+    The pressed terms apply from `pressed_share` of the longest pause between pieces that callers
+    tolerate: a slightly longer pass then makes streams late, so shorter passes are worth the
+    orders of a change. `sampled_share` of the ranks is read; `memory` is the weight of the previous
+    demand relative to the newest. In one change a rank copies for at most `copy_s`, or a single
+    expert if that takes longer.
     """
 
     calm: PlanTerms
@@ -45,7 +45,7 @@
     copy_s: float
 
     def is_pressing(self, longest_s: float | None, objective_s: float) -> bool:
-        """Return whether the longest of recent pauses presses; an unknown one does not."""
+        """Return whether the longest recent pause calls for the pressed terms; False if unknown."""
         if longest_s is None or not objective_s:
             return False
         return longest_s >= self.pressed_share * objective_s
@@ -54,7 +54,7 @@
 def choose_bounds(
     policy: PlanPolicy, terms: PlanTerms, figures: ExpertFigures, ranks: int, load: float
 ) -> Bounds:
-    """Return the bounds of a change in a group whose slots are taken to the share `load`."""
+    """Return the bounds of a change in a group; `load` is the share of its slots in use."""
     price = terms.copy_price_mb * figures.expert_mb * figures.layers / ranks
     copies = int(policy.copy_s / figures.copy_s) if figures.copy_s else figures.places
     return Bounds(
