--- a/dalehollow/gateway/__init__.py
+++ b/dalehollow/gateway/__init__.py
@@ -1,3 +1,3 @@
-"""Serve callers straight from upstreams that have no sidecar, on one event loop."""
+"""Gateway: serves callers directly from upstreams without a sidecar, on one event loop."""
 
 from __future__ import annotations
--- a/dalehollow/gateway/__main__.py
+++ b/dalehollow/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""Start a gateway with little else imported: a restart serves again as soon as it can."""
+"""Start a gateway with minimal imports, so that it serves again soon after a restart."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def main() -> None:
-    """Run the gateway that the settings file describes: the argument, or the variable's path."""
+    """Run a gateway with the settings file given as argument or in `DALEHOLLOW_BOOT`."""
     path = sys.argv[1] if len(sys.argv) > 1 else os.environ.get(SETTINGS_VARIABLE, "")
     try:
         run_gateway(path)
@@ -32,7 +32,7 @@
 
 
 def run_gateway(path: str) -> None:
-    """Run the gateway of a settings file; raise SettingsError if the file cannot be used."""
+    """Run a gateway; raise SettingsError if the settings file is missing or invalid."""
     settings = read_gateway_settings(path)
     writer = setup_logs(settings.name, settings.log_level, settings.log_lines_per_s)
     if unknown := read_unknown(path):
@@ -42,7 +42,7 @@
 
 
 async def _run(settings: GatewaySettings, path: str, writer: LineWriter) -> None:
-    """Run until SIGTERM or SIGINT; SIGHUP reads the settings anew."""
+    """Run until SIGTERM or SIGINT; SIGHUP reloads the settings."""
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -54,7 +54,7 @@
 
 
 def _reload(started_with: GatewaySettings, path: str, writer: LineWriter) -> None:
-    """Take over the log settings; what else has changed waits for the next start."""
+    """Apply changed log settings; other changes take effect at the next start."""
     try:
         settings = read_gateway_settings(path)
     except SettingsError as exc:
--- a/dalehollow/gateway/demand.py
+++ b/dalehollow/gateway/demand.py
@@ -9,7 +9,7 @@
 
 MIN_COUNTS = 400
 """Minimum counts per layer for a window to be significant: those of a few requests."""
-TURNED = 1.4
+SHIFT_RATIO = 1.4
 """Demand has shifted if the longest rank under a window exceeds that under the remembered demand by
 this factor: windows of unchanged demand differ by up to 1.35, a shift gives 1.5 to 2.5."""
 KEPT_SCALE = 1_000
@@ -58,7 +58,9 @@
             window = _add_layers(window, change, 1.0) if window else change
         if not window or sum(window[0]) < MIN_COUNTS:
             return False
-        has_shifted = not self.demand or rate_longest(window) > TURNED * rate_longest(self.demand)
+        has_shifted = not self.demand or rate_longest(window) > SHIFT_RATIO * rate_longest(
+            self.demand
+        )
         if has_shifted or self._may_be_mixed:
             self.demand = window
         else:
--- a/dalehollow/gateway/process.py
+++ b/dalehollow/gateway/process.py
@@ -1,4 +1,4 @@
-"""Run a gateway: the entry that sends straight to upstreams which have no sidecar."""
+"""The gateway process: an entry that sends requests directly to upstreams without a sidecar."""
 
 from __future__ import annotations
 
@@ -39,21 +39,21 @@
 _MS_PER_S = 1000
 _BACKLOG = 512
 MIN_STOP_S = 3.0
-"""A stopping gateway serves on for so long: the balancer asks each second, and twice. What still
-comes later is refused, since it may not end within the grace."""
+"""A stopping gateway accepts requests for this time: the balancer checks readiness once per second,
+and needs two failed checks. Later requests are refused, since they may not end within the grace."""
 STOPPING_RETRY_AFTER_S = 0.05
-"""Another gateway takes the request at once; the pause lets the balancer's choice differ."""
+"""Another gateway can take the request at once; the delay lets the balancer choose another."""
 STOP_MARGIN_S = 0.6
-"""Time kept at the end of the grace to close connections."""
+"""Time reserved at the end of the grace period to close connections."""
 
 _LOG = logging.getLogger(__name__)
 
 
 class Gateway:
-    """Serve callers until it is told to stop."""
+    """Serve callers until stopped."""
 
     def __init__(self, settings: GatewaySettings) -> None:
-        """Prepare; nothing is opened before `run`."""
+        """Create the parts; no socket is opened before `run`."""
         self._settings = settings
         rng = random.Random(f"{settings.name}{time.time_ns()}")
         self.state = GatewayState(
@@ -70,15 +70,15 @@
             crashes=CrashWatch(read_clock, lambda: self._reports.note_change()),
             started_at_s=read_clock(),
         )
-        # The addresses in use, once `listening` is set; a port 0 of the settings picks a free one.
+        # Bound addresses, valid once `listening` is set; port 0 in the settings picks a free port.
         self.http = self.ready = self.metrics = ""
-        # Set by whoever writes the logs: how many lines found no room.
+        # Set by the owner of the log writer: the number of log lines dropped.
         self.lines_left_out: Callable[[], int] = lambda: 0
         self.listening = asyncio.Event()
         self._is_stopping = False
         self.refuses_new = False
         self._callers: set[CallerConnection] = set()
-        self._askers: set[CallerConnection] = set()
+        self._auxiliary_connections: set[CallerConnection] = set()
         self._tasks: list[asyncio.Task[None]] = []
         self._members = Members(read_clock, self._note_member)
         absence_s = settings.heartbeat_ms / _MS_PER_S * LAPSE_HEARTBEATS
@@ -116,10 +116,12 @@
         self.state.on_change = self._reports.note_change
 
     async def run(self, stopping: asyncio.Event) -> None:
-        """Serve until told to stop, then finish what is in hand."""
+        """Serve until `stopping` is set, then finish requests in flight."""
         await self._open_peers()
-        self._tasks += self._start_following()
-        ready = await self._listen(self._settings.ready, self._answer_ready, self._askers)
+        self._tasks += self._start_store_tasks()
+        ready = await self._listen(
+            self._settings.ready, self._answer_ready, self._auxiliary_connections
+        )
         server = await self._listen(self._settings.http, self._serve, self._callers)
         status = await self._listen_status()
         self.http, self.ready = _read_address(server), _read_address(ready)
@@ -156,19 +158,19 @@
         )
         watch_gauges(sources)
         handler = make_status_handler(sources)
-        server = await self._listen(self._settings.metrics, handler, self._askers)
+        server = await self._listen(self._settings.metrics, handler, self._auxiliary_connections)
         self.metrics = _read_address(server)
         return server
 
     def is_ready(self) -> bool:
-        """Return whether new connections should be sent here."""
+        """Return whether the balancer should send new connections to this gateway."""
         return self.state.table is not None and not self._is_stopping
 
-    def _start_following(self) -> list[asyncio.Task[None]]:
+    def _start_store_tasks(self) -> list[asyncio.Task[None]]:
         state = self.state
         listener = Listener(
-            self._take_table,
-            self._take_upstream,
+            self._apply_table,
+            self._apply_upstream,
             state.upstreams.remove,
             self._take_listed,
             self._planners.note_holder,
@@ -192,9 +194,10 @@
         self._tasks.append(keep_running("tokens", self._tokens.run))
 
     async def _bind_peer_port(self) -> str:
-        """Take datagrams and connections of other gateways at one port; return the address.
+        """Bind one port for datagrams and connections of other gateways; return the address.
 
-        Where the settings leave the port open, one that is free for datagrams only is given back.
+        If the settings give port 0, a port that is free for datagrams only is released, and another
+        one is tried.
         """
         loop = asyncio.get_running_loop()
         host, _, wanted = self._settings.peer.rpartition(":")
@@ -204,7 +207,9 @@
             )
             address = "{}:{}".format(*transport.get_extra_info("sockname")[:2])
             try:
-                self._peer_server = await self._listen(address, self._copies.answer, self._askers)
+                self._peer_server = await self._listen(
+                    address, self._copies.answer, self._auxiliary_connections
+                )
                 return address
             except OSError as exc:
                 transport.close()
@@ -212,14 +217,14 @@
                     raise
                 log_event(_LOG, "peer_port_taken", address=address, error=exc)
 
-    def _take_table(self, table: RoutingTable) -> None:
+    def _apply_table(self, table: RoutingTable) -> None:
         self.state.take_table(table)
         if self.state.table is None:
             return
         for upstream in self.state.upstreams:
             self._planners.plan_group_of(upstream.listed)
 
-    def _take_upstream(self, listed: ListedUpstream) -> None:
+    def _apply_upstream(self, listed: ListedUpstream) -> None:
         before = self.state.upstreams.find(listed.incarnation)
         self.state.upstreams.put(listed)
         if before is None or listed.started_at_ms > before.started_at_ms:
@@ -281,12 +286,12 @@
             return
         await serve_request(self.state, caller, request)
 
-    async def _answer_ready(self, asker: CallerConnection, request: CallerRequest) -> None:
+    async def _answer_ready(self, connection: CallerConnection, request: CallerRequest) -> None:
         status = HTTPStatus.OK if self.is_ready() else HTTPStatus.SERVICE_UNAVAILABLE
-        asker.send_whole(status, [], b"")
+        connection.send_whole(status, [], b"")
 
     async def _stop(self, server: asyncio.Server) -> None:
-        """Serve on until the balancer has noticed and nothing is in hand, within the grace."""
+        """Serve until the balancer has noticed and no request is in flight, within the grace."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         self._is_stopping = True
--- a/dalehollow/gateway/settings.py
+++ b/dalehollow/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Read and check the settings of a gateway, written in JSON with comments."""
+"""Read and validate the settings of a gateway, given as JSON with comments."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class GatewaySettings:
-    """Hold one gateway's settings; addresses are an IP number and a port."""
+    """Settings of one gateway; addresses are an IP address and a port."""
 
     role: str
     name: str
@@ -29,36 +29,36 @@
     http: str
     ready: str
     store: str
-    # Where other gateways send their reports, by datagram.
+    # Address for reports of other gateways, by datagram.
     peer: str
     metrics: str = "127.0.0.1:0"
     log_level: str = "info"
     log_lines_per_s: int = 40
-    # How long a planned stop may take before the platform ends the process.
+    # Time that a planned stop may take before the platform kills the process.
     stop_grace_ms: int = 8_000
-    # Repeats of requests that all gateways together may send to one service in a window.
+    # Retry budget: retries that all gateways together may send to one service per window.
     retry_window_ms: int = 10_000
     retry_share: float = 0.2
     retry_extra: float = 90.0
-    # Gateways that share the extra repeats where their real number is not known.
+    # Number of gateways that share the extra retries while the actual number is unknown.
     gateways_expected: int = 12
     connect_timeout_ms: int = 150
-    # How often upstreams renew their entries in the list.
+    # Interval at which upstreams renew their entries in the list.
     heartbeat_ms: int = 1_200
-    # What this VM's link carries, and what of it reports to other halls may take.
+    # Bandwidth of this VM's link, and the byte rate of it for reports to other halls.
     link_mbps: float = 1000.0
     report_bytes_per_s: int = 16_000
-    # The planner of expert maps: how often it looks, at which share of the ranks (two at least),
-    # what each copied megabyte must take off the longest rank (`PlanTerms`), which share a whole
-    # change must, and how much of the last demand it remembers.
+    # Planner of expert maps: the interval of rounds, the share of ranks sampled (at least two
+    # ranks), the reduction of the longest rank's load per megabyte copied (`PlanTerms`) and by a
+    # whole change, and the weight of the previous demand.
     plan_interval_ms: int = 4_000
     plan_sampled_share: float = 0.08
     plan_copy_price_mb: float = 0.00015
     plan_begin_gain: float = 0.3
     plan_memory: float = 0.8
-    # How long a rank may copy weights in one change: others follow once that one is in force.
+    # Time that a rank may copy weights in one change; further copies follow once it is in force.
     plan_copy_ms: int = 450
-    # The same for a minute after pauses of this share of those that callers take well.
+    # The same for 60 s after a pause of this share of the longest that callers tolerate.
     plan_pressed_share: float = 0.85
     plan_pressed_interval_ms: int = 500
     plan_pressed_copy_price_mb: float = 0.00006
@@ -66,23 +66,23 @@
 
 
 def read_gateway_settings(path: str) -> GatewaySettings:
-    """Read a settings file; raise SettingsError with every mistake in it."""
+    """Read a settings file; raise SettingsError that lists every mistake."""
     return parse_gateway_settings(read_settings_text(path))
 
 
 def parse_gateway_settings(text: str) -> GatewaySettings:
-    """Check settings given as text; unknown fields are left aside, for later releases add some."""
+    """Parse and validate settings; fields unknown to this release are ignored."""
     raw = parse_settings_text(text, _find_mistakes)
     return GatewaySettings(**{name: raw[name] for name in _fields() if name in raw})
 
 
 def read_unknown(path: str) -> list[str]:
-    """Return the names of a settings file's fields that this release does not know."""
+    """Return the unknown field names of a settings file."""
     return list_unknown(read_settings_text(path))
 
 
 def list_unknown(text: str) -> list[str]:
-    """Return the names of fields that this release does not know."""
+    """Return the field names that this release does not know."""
     return sorted(set(parse_settings_text(text, lambda raw: [])) - set(_fields()))
 
 
@@ -109,6 +109,6 @@
         return check_address(name, value)
     if kind in ("int", "float"):
         allowed = (int,) if kind == "int" else (int, float)
-        is_sound = isinstance(value, allowed) and not isinstance(value, bool) and value >= 0
-        return [] if is_sound else [f"{name!r} is {value!r}, must be a number from 0"]
+        is_valid = isinstance(value, allowed) and not isinstance(value, bool) and value >= 0
+        return [] if is_valid else [f"{name!r} is {value!r}, must be a number from 0"]
     return [] if isinstance(value, str) else [f"{name!r} is {value!r}, must be text"]
--- a/dalehollow/gateway/status.py
+++ b/dalehollow/gateway/status.py
@@ -1,4 +1,4 @@
-"""Tell metrics and state of a running gateway over HTTP; /dump is the state, all else metrics."""
+"""Serve metrics and state of a gateway over HTTP: /dump is the state, any other path metrics."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class StatusSources:
-    """Hold what is told of: the shared state and a few readings."""
+    """Sources of the metrics and the dump: the shared state and a few callbacks."""
 
     name: str
     hall: str
@@ -36,7 +36,7 @@
 
 
 def watch_gauges(sources: StatusSources) -> None:
-    """Offer the ages and counts that are read when metrics are asked for."""
+    """Register the gauges that are evaluated on each request for metrics."""
     state, metrics = sources.state, sources.state.metrics
     loop = asyncio.get_running_loop()
     metrics.watch_gauge("config_version", lambda: state.table.version if state.table else 0)
@@ -57,7 +57,7 @@
 
 
 def make_dump(sources: StatusSources) -> dict[str, object]:
-    """Return the state of a gateway as plain values; keys of callers are not in it."""
+    """Return the state of a gateway as JSON-compatible values, without callers' keys."""
     state = sources.state
     now_s = asyncio.get_running_loop().time()
     return {
--- a/dalehollow/gateway/tasks.py
+++ b/dalehollow/gateway/tasks.py
@@ -1,4 +1,4 @@
-"""Keep the tasks of a process running, and have them wait for each other."""
+"""Supervise the background tasks of a process, and wait for events with a timeout."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from dalehollow.telemetry.logs import log_event
 
 RESTART_PAUSE_S = 0.5
-"""Pause before a task that failed begins anew: short beside the bounds of what it does, long
-enough that a failure that repeats does not take the processor."""
+"""Pause before a failed task is restarted: short compared with the time limits of the tasks, long
+enough that a repeated failure does not use up the CPU."""
 
 _LOG = logging.getLogger(__name__)
 
 
 def keep_running(name: str, run: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
-    """Start a task; where it fails, log why and begin it anew until it returns."""
+    """Start a task; on failure, log the error and restart it, until it returns."""
 
     async def supervise() -> None:
         while True:
@@ -33,7 +33,7 @@
 
 
 async def wait_set(event: asyncio.Event, timeout_s: float) -> bool:
-    """Wait until an event is set or the time is over; return whether it is set."""
+    """Wait until an event is set or the timeout expires; return whether it is set."""
     try:
         async with asyncio.timeout(timeout_s):
             return await event.wait()
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -1,15 +1,15 @@
-"""Check what a planner remembers of demand: chance evens out, and a turn is followed at once."""
+"""Check that the demand estimate averages out noise and follows a shift of demand at once."""
 
 from __future__ import annotations
 
 from dalehollow.gateway.demand import MIN_COUNTS, DemandWindow
 from dalehollow.groups.ranks import RankCounts
 
-QUIET, EVEN, TURNED = [1, 1, 1, 1], [6, 5, 5, 4], [0, 1, 0, 19]
+UNIFORM, BALANCED, SHIFTED = [1, 1, 1, 1], [6, 5, 5, 4], [0, 1, 0, 19]
 
 
 class _Counter:
-    """Count on as a rank does; the map in force gives each of two ranks one half of the experts."""
+    """Counters of a rank; the map in force assigns each of two ranks one half of the experts."""
 
     def __init__(self, memory: float = 1.0) -> None:
         self.window = DemandWindow(memory)
@@ -32,33 +32,33 @@
         return [round(value / sum(layer), 2) for value in layer]
 
 
-def test_windows_of_one_time_are_added_up() -> None:
+def test_windows_of_unchanged_demand_are_added_up() -> None:
     counter = _Counter()
-    for chosen in (QUIET, QUIET, EVEN, EVEN, QUIET):
+    for chosen in (UNIFORM, UNIFORM, BALANCED, BALANCED, UNIFORM):
         counter.add(chosen)
-    # The first window may hold some of the time before it, so the second takes its place.
+    # The first window may include counts from before a shift, so the second one replaces it.
     assert counter.shares() == [0.3, 0.25, 0.25, 0.2]
 
 
-def test_memory_fades() -> None:
+def test_older_windows_weigh_less() -> None:
     counter = _Counter(memory=0.5)
-    for chosen in (EVEN, EVEN, EVEN, EVEN, QUIET):
+    for chosen in (BALANCED, BALANCED, BALANCED, BALANCED, UNIFORM):
         counter.add(chosen)
     assert counter.window.demand[0][0] == MIN_COUNTS * (1 + 0.5 * 9)
 
 
-def test_a_turn_is_followed_at_once_and_its_mixed_window_is_not_kept() -> None:
+def test_shift_is_followed_at_once_and_mixed_window_is_replaced() -> None:
     counter = _Counter()
     for _ in range(5):
-        counter.add(EVEN)
+        counter.add(BALANCED)
     counter.add([2, 2, 2, 30])
     assert counter.shares() == [0.06, 0.06, 0.06, 0.83]
-    counter.add(TURNED)
+    counter.add(SHIFTED)
     assert counter.shares() == [0.0, 0.05, 0.0, 0.95]
 
 
-def test_a_window_of_few_counts_says_nothing() -> None:
+def test_window_with_few_counts_is_not_significant() -> None:
     counter = _Counter()
-    counter.add(EVEN)
-    assert counter.add(EVEN)
+    counter.add(BALANCED)
+    assert counter.add(BALANCED)
     assert not counter.add([1, 1, 1, 1], scale=MIN_COUNTS // 8)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Let a planner look at a fake group, and check when and what it changes."""
+"""Check when a planner changes the expert map of a fake group, and how."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class _CountingGroup(FakeGroup):
-    """Count what requests choose: `hot` most of all; passes run while the planner waits."""
+    """Fake group with expert counters, `hot` counted most; each read of counts runs a pass."""
 
     hot = 0
     paces = (1.0,) * RANKS
@@ -92,17 +92,17 @@
     asyncio.run(run())
 
 
-async def _until(is_so: Callable[[], bool]) -> None:
-    while not is_so():
+async def _wait_until(condition: Callable[[], bool]) -> None:
+    while not condition():
         await asyncio.sleep(0.001)
 
 
-def test_a_hot_expert_is_spread_and_the_demand_is_kept() -> None:
+def test_hot_expert_is_replicated_and_demand_is_stored() -> None:
     async def scenario(planner: GroupPlanner, group: _CountingGroup, duties: _Duties) -> None:
-        await _until(lambda: planner.changes >= 1)
+        await _wait_until(lambda: planner.changes >= 1)
         assert planner.current is not None
         assert sum(0 in held for held in planner.current[0]) > 1
-        await _until(lambda: bool(duties.kept))
+        await _wait_until(lambda: bool(duties.kept))
         assert duties.kept[-1].demand[0][0] == max(duties.kept[-1].demand[0])
         assert len({rank.version for rank in group.ranks} | {rank.prepared for rank in group.ranks})
 
@@ -110,7 +110,10 @@
 
 
 def test_no_map_is_prepared_while_the_last_switch_has_not_taken_place() -> None:
-    """Ranks that are armed refuse it: half of a second was lost, and others copied for nothing."""
+    """Armed ranks refuse a new map.
+
+    The planner then lost half of each second, and the other ranks copied experts in vain.
+    """
 
     async def scenario(planner: GroupPlanner, group: _CountingGroup, duties: _Duties) -> None:
         planned_while_armed = []
@@ -120,59 +123,65 @@
                 planned_while_armed.append(group.ranks[rank].armed is not None)
 
         def is_done() -> bool:
-            # Demand turns with each plan.
+            # Demand shifts with each plan.
             group.hot = planner.changes
             return planner.changes >= 3
 
         group.on_order = note
-        await _until(is_done)
+        await _wait_until(is_done)
         assert not any(planned_while_armed)
 
     _run(scenario)
 
 
-def test_a_group_that_opens_anew_is_planned_from_the_demand_known() -> None:
+def test_reopened_group_is_planned_from_known_demand() -> None:
     async def scenario(planner: GroupPlanner, group: _CountingGroup, duties: _Duties) -> None:
-        await _until(lambda: planner.changes >= 1)
+        await _wait_until(lambda: planner.changes >= 1)
         changes = planner.changes
         group.epoch += 1
         group.ranks = [type(group.ranks[0])() for _ in range(RANKS)]
         planner.note_epoch(group.epoch)
-        await _until(lambda: planner.changes > changes)
+        await _wait_until(lambda: planner.changes > changes)
 
     _run(scenario)
 
 
-def test_a_slow_rank_is_told_of() -> None:
+def test_slow_rank_is_reported() -> None:
     async def scenario(planner: GroupPlanner, group: _CountingGroup, duties: _Duties) -> None:
-        await _until(lambda: planner.changes >= 1)
+        await _wait_until(lambda: planner.changes >= 1)
         group.paces = (1.0, 1.0, 4.0, 1.0)
         planner._note_slower()
-        await _until(lambda: bool(duties.kept) and duties.kept[-1].slow_ranks == (2,))
+        await _wait_until(lambda: bool(duties.kept) and duties.kept[-1].slow_ranks == (2,))
         group.paces = (1.0,) * RANKS
-        await _until(lambda: duties.kept[-1].slow_ranks == ())
+        await _wait_until(lambda: duties.kept[-1].slow_ranks == ())
 
     _run(scenario)
 
 
-def test_a_slow_rank_is_found_by_the_steps_where_no_streams_tell() -> None:
-    """A planner with few streams of its own kept requests on a rank 12 times slower for 8 s."""
+def test_slow_rank_is_detected_by_steps_without_streams() -> None:
+    """A planner with few streams of its own did not notice a rank 12 times slower for 8 s.
+
+    Until then requests were still sent to that rank.
+    """
 
     async def scenario(planner: GroupPlanner, group: _CountingGroup, duties: _Duties) -> None:
-        await _until(lambda: planner.changes >= 1)
+        await _wait_until(lambda: planner.changes >= 1)
         group.paces = (1.0, 1.0, 12.0, 1.0)
         planner.pass_times.pass_ms = lambda batch: 0.001
-        await _until(lambda: bool(duties.kept) and duties.kept[-1].slow_ranks == (2,))
+        await _wait_until(lambda: bool(duties.kept) and duties.kept[-1].slow_ranks == (2,))
 
     _run(scenario)
 
 
 @pytest.mark.parametrize("is_slower", [True, False])
-def test_long_passes_before_a_switch_call_for_no_look_after_it(is_slower: bool) -> None:
-    """A second plan followed each switch within 50 ms, and its orders were refused."""
+def test_long_passes_before_a_switch_trigger_no_round_after_it(is_slower: bool) -> None:
+    """Long passes under the previous map triggered a second plan within 50 ms of each switch.
+
+    The ranks refused its orders.
+    """
 
     async def scenario(planner: GroupPlanner, group: _CountingGroup, duties: _Duties) -> None:
-        await _until(lambda: planner.changes >= 1)
+        await _wait_until(lambda: planner.changes >= 1)
         terms = PlanTerms(interval_s=3600.0, begin_gain=0.1, copy_price_mb=0.0)
         planner.policy = PlanPolicy(terms, terms, 0.5, sampled_share=0.5, memory=0, copy_s=1.0)
         seen_at_note = []
@@ -187,33 +196,36 @@
         group.hot = 1
         kept = len(duties.kept)
         planner.note_vacancy()
-        await _until(lambda: len(duties.kept) > kept)
+        await _wait_until(lambda: len(duties.kept) > kept)
         group.prepare = prepare  # type: ignore[method-assign]
         if is_slower:
             for _ in range(50):
                 await asyncio.sleep(0)
             assert group.seen == seen_at_note[-1]
         else:
-            # A vacancy or a new epoch that came meanwhile is not forgotten.
-            await _until(lambda: group.seen > seen_at_note[-1])
+            # A vacancy or a new epoch during the switch still triggers a round.
+            await _wait_until(lambda: group.seen > seen_at_note[-1])
 
     _run(scenario)
 
 
-def test_a_hold_that_came_late_is_ended() -> None:
-    """An unanswered hold may be carried out when its planner waits for it no more."""
+def test_hold_applied_late_is_settled() -> None:
+    """A rank may apply an unanswered hold after its planner has stopped waiting for it.
+
+    The group then stands still until the hold is settled.
+    """
 
     async def scenario(planner: GroupPlanner, group: _CountingGroup, duties: _Duties) -> None:
-        await _until(lambda: planner.changes >= 1)
+        await _wait_until(lambda: planner.changes >= 1)
         group.ranks[1].held = group.step + 1
-        await _until(lambda: group.ranks[1].held is None)
+        await _wait_until(lambda: group.ranks[1].held is None)
         step = group.step
-        await _until(lambda: group.step > step)
+        await _wait_until(lambda: group.step > step)
 
     _run(scenario)
 
 
-def test_without_the_duty_nothing_is_ordered() -> None:
+def test_planner_without_duty_sends_no_orders() -> None:
     async def scenario(planner: GroupPlanner, group: _CountingGroup, duties: _Duties) -> None:
         duties.held = None
         planner.holder = lambda: "another"
@@ -226,7 +238,7 @@
     _run(scenario)
 
 
-def test_a_task_that_fails_is_logged_and_begun_anew(
+def test_failed_task_is_logged_and_restarted(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(tasks, "RESTART_PAUSE_S", 0)
@@ -245,8 +257,11 @@
     assert caplog.text.count("event=task_failed task=test") == 2
 
 
-def test_looks_stay_frequent_for_a_while_after_passes_have_pressed() -> None:
-    """Counts tell of a turn before passes do, so calm passes between two turns are no reason."""
+def test_pressed_terms_remain_after_passes_shorten() -> None:
+    """Short passes between two demand shifts do not end the pressed terms early.
+
+    Counts show a shift before passes do, so rounds must stay frequent.
+    """
 
     async def scenario(planner: GroupPlanner, group: _CountingGroup, duties: _Duties) -> None:
         now_s = asyncio.get_running_loop().time()
@@ -272,7 +287,7 @@
     ("pass_s", "objective_s", "is_pressed"),
     [(None, 0.12, False), (0.05, 0.12, False), (0.06, 0.12, True), (0.2, 0.0, False)],
 )
-def test_plans_are_eager_while_passes_press_on_the_pauses_that_callers_take(
+def test_long_passes_select_the_pressed_terms(
     pass_s: float | None, objective_s: float, is_pressed: bool
 ) -> None:
     pressed = PlanTerms(interval_s=1.0, begin_gain=0.1, copy_price_mb=0.0)
