--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""Run the real program as a process: its start, commands, metrics, logs and ends."""
+"""Check start, commands, metrics, logs and exit of the gateway as a separate process."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-async def _command(*args: str) -> subprocess.CompletedProcess[str]:
+async def _run_command(*args: str) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "dalehollow", *args]
     return await asyncio.to_thread(subprocess.run, command, capture_output=True, text=True)
 
@@ -49,7 +49,7 @@
     return next(line for line in log.splitlines() if text in line)
 
 
-def test_requests_metrics_dump_and_explanation(tmp_path: Path) -> None:
+def test_requests_metrics_dump_and_explain(tmp_path: Path) -> None:
     async def scenario(
         gateway: GatewayProcess, store: MetadataStandIn, servers: list[ServerStandIn]
     ) -> None:
@@ -61,25 +61,25 @@
         assert 'dalehollow_requests_total{outcome="answered",reason="200"} 1' in metrics
         assert "dalehollow_first_piece_ms_count" in metrics
         assert "dalehollow_config_version 1" in metrics
-        state = json.loads((await _command("dump", f"http://{gateway.metrics}")).stdout)
+        state = json.loads((await _run_command("dump", f"http://{gateway.metrics}")).stdout)
         assert state["retry_budgets"]["desk"]["first_tries"] >= 1
         assert state["config_version"] == 1 and len(state["upstreams"]) == 2
         await _await_log(gateway, "request=r-lost route=pay")
-        told = await _command("explain", "r-lost", str(gateway.log_path))
-        assert told.returncode == 0, told.stderr
-        assert "event=attempt_failed" in told.stdout
-        assert "status 502" in told.stdout.splitlines()[-1]
-        unknown = await _command("explain", "r-none", str(gateway.log_path))
+        explained = await _run_command("explain", "r-lost", str(gateway.log_path))
+        assert explained.returncode == 0, explained.stderr
+        assert "event=attempt_failed" in explained.stdout
+        assert "status 502" in explained.stdout.splitlines()[-1]
+        unknown = await _run_command("explain", "r-none", str(gateway.log_path))
         assert unknown.returncode == 1
 
     _run(tmp_path, scenario)
 
 
-def test_reload_names_what_changed_and_a_planned_stop_ends_well(tmp_path: Path) -> None:
+def test_reload_logs_changed_fields_and_planned_stop_exits_cleanly(tmp_path: Path) -> None:
     async def scenario(
         gateway: GatewayProcess, store: MetadataStandIn, servers: list[ServerStandIn]
     ) -> None:
-        checked = await _command("check-settings", str(gateway.settings_path))
+        checked = await _run_command("check-settings", str(gateway.settings_path))
         assert json.loads(checked.stdout)["stop_grace_ms"] == 8000
         settings = json.loads(gateway.settings_path.read_text())
         gateway.settings_path.write_text(json.dumps({**settings, "log_level": "debug"}))
@@ -97,10 +97,10 @@
     _run(tmp_path, scenario)
 
 
-def test_unusable_settings_end_in_one_line(tmp_path: Path) -> None:
+def test_invalid_settings_are_reported_without_traceback(tmp_path: Path) -> None:
     path = tmp_path / "bad.json"
     path.write_text('{"role": "gateway", "name": "gw", "http": "nowhere"}')
-    done = asyncio.run(_command("run", str(path)))
-    assert done.returncode == 2
-    assert "'http' is 'nowhere'" in done.stderr and "'store' is missing" in done.stderr
-    assert "Traceback" not in done.stderr
+    finished = asyncio.run(_run_command("run", str(path)))
+    assert finished.returncode == 2
+    assert "'http' is 'nowhere'" in finished.stderr and "'store' is missing" in finished.stderr
+    assert "Traceback" not in finished.stderr
