--- a/dalehollow/platform/follow.py
+++ b/dalehollow/platform/follow.py
@@ -1,4 +1,4 @@
-"""Follow the users' store: read all items, watch for changes, and live through its failures."""
+"""Follow the metadata store: read all items, watch for changes and retry after failures."""
 
 from __future__ import annotations
 
@@ -13,43 +13,44 @@
 from dalehollow.telemetry.logs import log_event
 
 WATCH_WAIT_S = 0.6
-"""A watch without changes ends after this. It is a part of how late a configuration can be where
-a relay's way to the store falls silent; each halving costs a hall some 100 calls a minute."""
+"""Length of a watch without changes. It adds to the delay of a configuration when the relay's
+connection to the store goes silent; each halving costs a hall some 100 more calls per minute."""
 ANSWER_WAIT_S = 0.3
-"""An answer is taken as unheard when it has not begun this long after it should have: seventy
-times what the store takes. With the wait of a watch it stays below `feed.STALE_S`: what a relay
-knows is confirmed before the others rely on it no more."""
+"""A response that has not begun this long after it is due counts as lost: seventy times the usual
+response time of the store. Together with the length of a watch this stays below `feed.STALE_S`, so
+a relay confirms its state before other gateways stop relying on it."""
 LATER_ANSWER_WAIT_S = 0.6
-"""After a failure the next answer has this long, so that a store that is slow is heard too."""
+"""Response timeout after a failure: longer, so that a slow store still gets through."""
 PASSIVE_INTERVAL_S = 0.1
-"""While the hall's relay is heard, it is looked so often whether that still holds."""
+"""Interval at which a gateway checks whether its hall's relay can still be heard."""
 RECOVERY_WAIT_S = 0.1
-"""Wait of the watches after a failure or a rest, until one is answered: a long one that is sent
-into a silence would not be heard for its whole length."""
+"""Length of watches after a failure or a passive period, until one is answered: a long watch sent
+to a silent store blocks for its whole length even if the store comes back meanwhile."""
 RETRY_PAUSE_S = 0.2
-"""Pause after a first failed call, and after each of the first gateway of a hall and of one that
-knows nothing yet."""
+"""Retry delay after a first failure. The first gateway of a hall and a gateway without any data
+also use it for later failures."""
 OTHERS_RETRY_PAUSE_S = 0.8
-"""Pause of the others after more failures: they hear from the first that the store is back, and
-ask for themselves in case it is only the first that the store turns away."""
+"""Retry delay of the other gateways after repeated failures. They learn from the first gateway
+that the store is back, and still try themselves in case the store rejects only the first one."""
 BATCH_PAUSE_S = 0.2
-"""Changes come in groups (servers that start, ranks that open): those of this time are told by one
-call, and none waits longer, a tenth of the time a configuration may take."""
+"""Changes come in bursts (servers starting, ranks opening): those within this window are fetched by
+one call. It is also the longest added delay, a tenth of the time allowed for a configuration."""
 HISTORY_MAX_AGE_S = 0.7
-"""Knowledge that is older is made good by reading all items as they are now; a lost datagram is
-noticed sooner, a lost relay or store later. History holds every version of every item, so what must
-be read grows with the outage and while it is read; items are read once each. After 12 s of outage,
-with three configurations of 500 KB a second and a link of 20 Mbit/s, a gateway caught up in 1.9 s
-by items and not within 30 s by history (real follower and store client on virtual time, without
-copies of others)."""
+"""If the data is older than this, all current items are read instead of the history. A lost
+datagram is detected sooner than this, a lost relay or store later. The history holds every version
+of every item, so it grows with the outage and while it is read; a full read fetches each item once.
+After a 12 s outage, with three 500 KB configurations per second and a 20 Mbit/s link, a gateway
+caught up in 1.9 s by a full read but not within 30 s from the history (simulated time, with the
+actual follower and store client, without copies from other gateways)."""
 SLOW_ANSWER_S = 0.5
-"""After a watch whose answer was longer on its way, or broke off after so long, items are read too:
-history may be written faster than it is read."""
+"""If a watch response takes longer than this to arrive, or fails after that long, all items are
+read next: the history may be growing faster than it can be read."""
+
 _LOG = logging.getLogger(__name__)
 
 
 class Follower:
-    """Keep one watch open on one prefix and tell of what changes."""
+    """Keep a watch open on one key prefix and report changes to a listener."""
 
     def __init__(
         self,
@@ -59,33 +60,33 @@
         feed: HallFeed,
         era: StoreEra | None = None,
     ) -> None:
-        """Prepare; nothing is read before `run`, which leaves the store alone while `feed` can."""
+        """Create a follower; `run` does not call the store while `feed` is passive."""
         self._feed = feed
         self._items = StoreItems(listener, feed)
         self._store = Store(address, era)
         self._prefix = prefix
         self._must_read_items = False
         self._is_reachable = True
-        # Whether the last call was answered, and no rest came after it.
-        self._is_sure = True
+        # Whether the last call was answered, with no passive period since.
+        self._is_connection_confirmed = True
         self._was_watch_slow = False
-        # Calls that failed since the last that was answered.
+        # Failed calls since the last answered one.
         self._failures = 0
 
     @property
     def calls(self) -> int:
-        """Return how many calls were made to the store."""
+        """Return the number of calls made to the store."""
         return self._store.calls
 
     async def run(self) -> None:
-        """Read everything, then watch, for ever; the store's failures are lived through."""
+        """Read all items, then watch until cancelled; store failures are retried."""
         while True:
             if self._feed.is_passive():
-                self._rest()
+                self._disconnect()
                 await asyncio.sleep(PASSIVE_INTERVAL_S)
                 continue
             try:
-                if self._is_history_short():
+                if self._should_watch():
                     await self._watch()
                 else:
                     await self._read_items()
@@ -98,10 +99,10 @@
                 self._note_failure(exc)
                 await asyncio.sleep(self._retry_pause_s())
 
-    def _rest(self) -> None:
-        """Leave the store alone; the next call opens a connection, for an old one may be dead."""
+    def _disconnect(self) -> None:
+        """Close the connection, since an idle one may be dead by the next call."""
         self._store.close()
-        self._is_sure = False
+        self._is_connection_confirmed = False
 
     def _retry_pause_s(self) -> float:
         is_first = self._feed.is_first() or not self._feed.revision
@@ -110,37 +111,37 @@
     def _answer_wait_s(self) -> float:
         return LATER_ANSWER_WAIT_S if self._failures else ANSWER_WAIT_S
 
-    def _is_history_short(self) -> bool:
-        """Return whether the changes since the last reading are less to read than all items."""
-        is_young = bool(self._feed.revision) and self._feed.age_s() < HISTORY_MAX_AGE_S
-        return is_young and not self._was_watch_slow and not self._must_read_items
+    def _should_watch(self) -> bool:
+        """Return whether the changes since the last read are likely smaller than a full read."""
+        is_recent = bool(self._feed.revision) and self._feed.age_s() < HISTORY_MAX_AGE_S
+        return is_recent and not self._was_watch_slow and not self._must_read_items
 
     async def _read_items(self) -> None:
-        reading = await self._store.read_range(self._prefix, self._answer_wait_s())
+        result = await self._store.read_range(self._prefix, self._answer_wait_s())
         log_event(
             _LOG,
             "items_read",
-            items=len(reading.changes),
-            as_of=show_revision(reading.revision),
+            items=len(result.changes),
+            as_of=show_revision(result.revision),
             revision=show_revision(self._feed.revision),
         )
         self._was_watch_slow = self._must_read_items = False
         self._feed.contact.note_answered()
-        self._items.take_all(reading.changes, reading.revision)
-        self._feed.note_read(0, reading.changes, reading.revision)
+        self._items.take_all(result.changes, result.revision)
+        self._feed.note_read(0, result.changes, result.revision)
 
     async def _watch(self) -> None:
         after = self._feed.revision
-        wait_s = WATCH_WAIT_S if self._is_sure else RECOVERY_WAIT_S
+        wait_s = WATCH_WAIT_S if self._is_connection_confirmed else RECOVERY_WAIT_S
         timeout_s = wait_s + self._answer_wait_s()
         try:
-            reading = await self._store.watch(self._prefix, after, wait_s, timeout_s)
+            result = await self._store.watch(self._prefix, after, wait_s, timeout_s)
         finally:
             self._was_watch_slow = self._store.transfer_s > SLOW_ANSWER_S
         self._feed.contact.note_answered()
-        self._items.take_changes(self._feed.select_fresh(reading.changes))
-        self._feed.note_read(after, reading.changes, reading.revision)
-        if reading.changes:
+        self._items.take_changes(self._feed.select_fresh(result.changes))
+        self._feed.note_read(after, result.changes, result.revision)
+        if result.changes:
             await asyncio.sleep(BATCH_PAUSE_S)
 
     def _note_reachable(self) -> None:
@@ -154,7 +155,7 @@
                 revision=show_revision(self._feed.revision),
             )
         self._failures = 0
-        self._is_sure = True
+        self._is_connection_confirmed = True
 
     def _note_failure(self, exc: PlatformError) -> None:
         self._failures += 1
@@ -168,4 +169,4 @@
             age_s=round(self._feed.age_s(), 3),
             error=exc,
         )
-        self._is_reachable = self._is_sure = False
+        self._is_reachable = self._is_connection_confirmed = False
--- a/dalehollow/platform/items.py
+++ b/dalehollow/platform/items.py
@@ -1,4 +1,4 @@
-"""Tell what the items of the users' store say, and when one that is missing is gone."""
+"""Decode metadata store items for a listener and decide when a missing item is gone."""
 
 from __future__ import annotations
 
@@ -28,67 +28,67 @@
 from dalehollow.telemetry.logs import log_event
 
 RESTORED_GRACE_S = 5.0
-"""An entry that was seen to go and stands again in a store that was restored is used once it is
-written anew or has stood for so long: four heartbeats of upstreams, so that of one that is gone it
-has lapsed again."""
-LAPSE_LOOK_S = 0.1
-"""While the store is away, it is looked so often whether it is back."""
+"""An entry that was removed and reappears after a store restore is used once it is rewritten or has
+existed for this long. That is four upstream heartbeats, so the entry of an upstream that is gone
+has expired again by then."""
+LAPSE_CHECK_INTERVAL_S = 0.1
+"""Interval of checks whether an unreachable store is back."""
 
 _LOG = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
 class Listener:
-    """Hold what is called with each change; all run in the event loop."""
+    """Hold the callbacks for changes; all run in the event loop."""
 
     on_table: Callable[[RoutingTable], None]
     on_upstream: Callable[[ListedUpstream], None]
     on_gone: Callable[[str], None]
-    # Name and entry of a gateway that is there, or None once it is gone.
+    # Name and entry of a gateway, or None once it is gone.
     on_member: Callable[[str, Member | None], None]
-    # A duty and the name of the gateway that holds it, or None once nobody does.
+    # A duty and the name of the gateway that holds it, or None if it is free.
     on_duty: Callable[[str, str | None], None]
-    # A service and what the map of its group was last planned for.
+    # A service and the inputs of the last plan for its group's map.
     on_plan: Callable[[str, KeptPlan], None]
 
 
 @dataclass(frozen=True)
-class _Gone:
-    """Hold which start of an upstream is gone, and as of which revision."""
+class _RemovedUpstream:
+    """Hold the start time of an upstream that is gone and the revision of its removal."""
 
     revision: int
     started_at_ms: int
 
 
 @dataclass(frozen=True)
-class _Restored:
-    """Hold an entry that stands again after a restore, and what will end the doubt about it."""
+class _RestoredEntry:
+    """Hold an entry that reappeared after a store restore until its timer accepts it."""
 
     change: Change
     timer: asyncio.TimerHandle
 
 
 class StoreItems:
-    """Hold which keys are known, and tell a listener of what they say."""
+    """Track known keys and report their decoded values to a listener."""
 
     def __init__(self, listener: Listener, feed: HallFeed) -> None:
-        """Prepare; what other gateways tell of the store comes by `feed`."""
+        """Create the tracker; `feed` supplies store changes relayed by other gateways."""
         self._listener = listener
         self._feed = feed
         feed.on_changes = self.take_changes
         feed.on_all = self.take_all
         feed.contact.on_news = self._drop_lapsed
         self._known: set[str] = set()
-        # When each upstream that is known started, and which are gone.
+        # Start time of each known upstream, and the upstreams that are gone.
         self._started_at_ms: dict[str, int] = {}
-        self._gone: dict[str, _Gone] = {}
-        self._restored: dict[str, _Restored] = {}
-        # Entries that may only have lapsed.
+        self._gone: dict[str, _RemovedUpstream] = {}
+        self._restored: dict[str, _RestoredEntry] = {}
+        # Missing entries that may have expired during a store outage only.
         self._lapsing: set[str] = set()
         self._lapse_timer: asyncio.TimerHandle | None = None
 
     def take_all(self, changes: tuple[Change, ...], revision: int) -> None:
-        """Take all items in; what is known and not among them is gone, unless it came later."""
+        """Apply a full read; known keys missing from it are gone unless changed later."""
         self._feed.contact.note_era(read_era(revision))
         self.take_changes(self._feed.select_fresh(changes))
         present = {change.key for change in changes}
@@ -98,7 +98,7 @@
                 self._note_missing(key, revision)
 
     def take_changes(self, changes: tuple[Change, ...]) -> None:
-        """Take single changes in, each a whole value or the end of its key."""
+        """Apply single changes, each a complete value or a deletion."""
         for era in {read_era(change.revision) for change in changes}:
             self._feed.contact.note_era(era)
         for change in changes:
@@ -125,27 +125,27 @@
             elif key.startswith(PLAN_PREFIX):
                 plan = msgspec.json.decode(value, type=KeptPlan)
                 self._listener.on_plan(key.removeprefix(PLAN_PREFIX), plan)
-            elif self._tell_gateway_key(key, value):
+            elif self._report_gateway_key(key, value):
                 self._known.add(key)
         except ValueError as exc:
             _note_unusable(key, exc)
-            # It names nothing now, whatever it named before.
+            # An invalid entry describes nothing, whatever it described before.
             self._note_missing(key, change.revision)
 
     def _take_upstream(self, change: Change, value: bytes) -> None:
         listed = decode_upstream(change.key, value)
         self._known.add(change.key)
-        if self._is_in_doubt(change, listed):
+        if self._is_held_back(change, listed):
             return
         self._gone.pop(change.key, None)
         self._lapsing.discard(change.key)
         if listed.is_leaving:
-            self._log_learned("entry_leaving", change.key, change.revision)
+            self._log_entry_event("entry_leaving", change.key, change.revision)
         self._started_at_ms[change.key] = listed.started_at_ms
         self._listener.on_upstream(listed)
 
-    def _is_in_doubt(self, change: Change, listed: ListedUpstream) -> bool:
-        """Return whether an entry was seen to go and may stand again by a restore alone."""
+    def _is_held_back(self, change: Change, listed: ListedUpstream) -> bool:
+        """Return whether a store restore alone may have brought a removed entry back."""
         earlier = self._restored.pop(change.key, None)
         if earlier is not None:
             earlier.timer.cancel()
@@ -158,14 +158,14 @@
         log_event(_LOG, "upstream_restored", key=change.key, waits_s=RESTORED_GRACE_S)
         loop = asyncio.get_running_loop()
         timer = loop.call_later(RESTORED_GRACE_S, self.take_changes, (change,))
-        self._restored[change.key] = _Restored(change, timer)
+        self._restored[change.key] = _RestoredEntry(change, timer)
         return True
 
     def _note_missing(self, key: str, revision: int) -> None:
-        """Drop an upstream, or wait a little for it where its entry may only have lapsed."""
+        """Drop a key, but wait first if an upstream entry may merely have expired in an outage."""
         if key not in self._known:
             return
-        if self._tell_gateway_key(key, None):
+        if self._report_gateway_key(key, None):
             self._known.discard(key)
             return
         if key not in self._restored and self._feed.contact.may_have_lapsed():
@@ -174,8 +174,8 @@
         else:
             self._drop(key, revision)
 
-    def _tell_gateway_key(self, key: str, value: bytes | None) -> bool:
-        """Tell of a key that gateways write; return whether it is one."""
+    def _report_gateway_key(self, key: str, value: bytes | None) -> bool:
+        """Report a key written by gateways; return whether it is such a key."""
         if key.startswith(MEMBER_PREFIX):
             member = msgspec.json.decode(value, type=Member) if value is not None else None
             self._listener.on_member(key.removeprefix(MEMBER_PREFIX), member)
@@ -186,20 +186,20 @@
             return False
         return True
 
-    def _log_learned(self, event: str, key: str, as_of: int) -> None:
-        """Log what was learned, as of which revision, and whom this gateway relies on just now."""
+    def _log_entry_event(self, event: str, key: str, as_of: int) -> None:
+        """Log a change with its revision and the current source of store data."""
         log_event(_LOG, event, key=key, as_of=show_revision(as_of), **self._feed.describe())
 
     def _drop_lapsed_later(self) -> None:
-        """Judge what may have lapsed again as soon as the store has been back for long enough."""
+        """Schedule `_drop_lapsed` for when the store has been back for long enough."""
         if self._lapse_timer is not None:
             self._lapse_timer.cancel()
-        pause_s = min(LAPSE_GRACE_S, max(LAPSE_LOOK_S, self._feed.contact.settles_in_s()))
+        pause_s = min(LAPSE_GRACE_S, max(LAPSE_CHECK_INTERVAL_S, self._feed.contact.settles_in_s()))
         loop = asyncio.get_running_loop()
         self._lapse_timer = loop.call_later(pause_s, self._drop_lapsed)
 
     def _drop_lapsed(self) -> None:
-        """Drop what is still missing, unless it may still only have lapsed."""
+        """Drop entries that are still missing, unless they may have expired in an outage only."""
         if self._lapsing and self._feed.contact.may_have_lapsed():
             self._drop_lapsed_later()
             return
@@ -209,12 +209,12 @@
     def _drop(self, key: str, revision: int) -> None:
         self._known.discard(key)
         self._lapsing.discard(key)
-        self._log_learned("entry_gone", key, revision)
+        self._log_entry_event("entry_gone", key, revision)
         restored = self._restored.pop(key, None)
         if restored is not None:
             restored.timer.cancel()
         if key in self._started_at_ms:
-            self._gone[key] = _Gone(revision, self._started_at_ms.pop(key))
+            self._gone[key] = _RemovedUpstream(revision, self._started_at_ms.pop(key))
         self._listener.on_gone(read_incarnation(key))
 
 
--- a/dalehollow/platform/session.py
+++ b/dalehollow/platform/session.py
@@ -1,8 +1,8 @@
-"""Keep this process known in the users' store, and take duties there that one process holds.
+"""Register this process in the metadata store and hold exclusive duties there.
 
-The entry of the process and each duty stand under leases, so they go when the process does. A
-lease is counted from before each renewal was asked for, on the steady clock, less a margin;
-whoever holds a duty asks `fence` before each step that only the holder may take.
+The member entry and each duty are attached to leases, so they disappear with the process. Lease
+validity is counted on the monotonic clock from just before the renewal request, less a safety
+margin. A duty holder checks `fence` before each step that only the holder may take.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class LeaseTimes:
-    """Hold how long a lease holds, how often it is renewed, and when it counts as over."""
+    """Hold the time to live, renewal interval and safety margin of a lease."""
 
     ttl_s: float
     renew_s: float
@@ -39,16 +39,16 @@
 
 
 MEMBER_TIMES = LeaseTimes(ttl_s=12.0, renew_s=4.0, margin_s=0.3)
-"""Peers notice a gateway's silence by themselves: the list only tells where reports go to."""
+"""Peers detect a silent gateway by themselves; the list only says where to send reports."""
 MEMBER_RETRY_S = 1.0
-"""Pause after a failed call, until the process is listed."""
+"""Retry delay after a failed call while the process is not listed."""
 DUTY_TIMES = LeaseTimes(ttl_s=1.0, renew_s=0.3, margin_s=0.2)
-"""The shortest lease the store gives: a group may stand still until its duty is taken over."""
+"""1 s is the shortest lease the store grants; a group may stall until its duty is taken over."""
 
 
 @dataclass
 class Lease:
-    """Hold one lease with the one key that stands under it."""
+    """Hold a store lease and the single key attached to it."""
 
     store: Store
     key: str
@@ -60,13 +60,13 @@
     _valid_until_s: float = 0.0
 
     def is_valid(self) -> bool:
-        """Return whether the lease surely holds now."""
+        """Return whether the lease is certain not to have expired."""
         return bool(self._id) and self.clock() < self._valid_until_s
 
     async def begin(self, *, replace: bool = False) -> None:
-        """Take a lease and create the key; raise ConflictError if the key is there.
+        """Acquire a lease and create the key; raise ConflictError if the key exists.
 
-        With `replace` a key that is there is taken over.
+        With `replace`, an existing key is overwritten.
         """
         asked_at_s = self.clock()
         lease, ttl_s = await self.store.grant_lease(self.times.ttl_s, CALL_TIMEOUT_S)
@@ -78,37 +78,37 @@
         self._valid_until_s = asked_at_s + ttl_s - self.times.margin_s
 
     async def renew(self) -> None:
-        """Renew the lease, or raise LeaseGoneError.
+        """Renew the lease; raise LeaseGoneError if it has expired or the store was restored.
 
-        A store that was restored may have lost the lease, and given its revision out again as the
-        fence of another holder: the lease is over, whatever the store says of it.
+        A restored store may have lost the lease and assigned its revision again as the fence of
+        another holder, so the lease counts as expired even if the store renewed it.
         """
         asked_at_s = self.clock()
         await self.store.keep_lease(self._id, CALL_TIMEOUT_S)
         if read_era(self.revision) != self.store.era.newest:
-            raise LeaseGoneError(f"{self.key}: the store was restored")
+            raise LeaseGoneError(f"{self.key}: store was restored")
         self._valid_until_s = asked_at_s + self.times.ttl_s - self.times.margin_s
 
     async def end(self) -> None:
-        """End the lease, and the key with it."""
+        """Revoke the lease, which deletes the key."""
         lease, self._id, self._valid_until_s = self._id, 0, 0.0
         if not lease:
             return
         try:
             await self.store.end_lease(lease, CALL_TIMEOUT_S)
         except (PlatformError, LeaseGoneError) as exc:
-            # It runs out by itself within its time.
+            # The lease expires on its own after its time to live.
             log_event(_LOG, "lease_end_unsure", key=self.key, error=exc)
         self.store.close()
 
     def forget(self) -> None:
-        """Take the lease as over."""
+        """Mark the lease as expired without calling the store."""
         self._id, self._valid_until_s = 0, 0.0
 
 
 @dataclass
 class Session:
-    """Hold the process's own lease, and those of the duties it holds by name."""
+    """Manage the member lease of this process and its duty leases by name."""
 
     address: str
     name: str
@@ -119,7 +119,7 @@
     _renewing: dict[str, asyncio.Task[None]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Prepare the process's own lease."""
+        """Create the member lease."""
         key = MEMBER_PREFIX + self.name
         store, value = Store(self.address, self.era), msgspec.json.encode(self.member)
         self._member = Lease(store, key, value, MEMBER_TIMES, self.clock)
@@ -127,16 +127,16 @@
         self._wake = asyncio.Event()
 
     def fence(self, duty: str) -> int | None:
-        """Return the fence of a duty that is surely held now, or None.
+        """Return the fencing token of a duty, or None unless it is certain to be held now.
 
-        It is higher than that of each earlier holder, also of those before a restore of the store:
-        ranks take no version of a map below one that they had, and versions are made of fences.
+        Tokens rise with each holder, also across restores of the store: ranks reject a map version
+        below one they have had, and map versions are derived from tokens.
         """
         lease = self._duties.get(duty)
         return lease.revision if lease is not None and lease.is_valid() else None
 
     async def run(self) -> None:
-        """Keep the process listed, for ever; after a lapse begin with a new lease."""
+        """Keep the process listed until cancelled, with a new lease after each expiry."""
         while True:
             pause_s = MEMBER_TIMES.renew_s
             try:
@@ -151,7 +151,7 @@
             await self._pause(pause_s)
 
     def note_unlisted(self) -> None:
-        """List the process anew: its entry is gone, with the lease of an earlier life perhaps."""
+        """Register again after the entry vanished, possibly with the lease of a previous run."""
         if self._is_listed:
             self._unlist("member_removed")
             self._wake.set()
@@ -161,7 +161,7 @@
         self._wake.clear()
 
     async def take_duty(self, duty: str) -> bool:
-        """Try to take a duty that nobody holds; its fence is higher than any before."""
+        """Try to acquire a duty that has no holder; return whether it was acquired."""
         key = DUTY_PREFIX + duty
         store = Store(self.address, self.era)
         lease = Lease(store, key, self.name.encode(), DUTY_TIMES, self.clock)
@@ -171,7 +171,7 @@
             store.close()
             return False
         except PlatformError as exc:
-            # If it was taken all the same, its lease runs out by itself.
+            # If the write succeeded after all, its lease expires on its own.
             log_event(_LOG, "duty_unsure", duty=duty, error=exc)
             store.close()
             return False
@@ -182,7 +182,7 @@
         return True
 
     async def drop_duty(self, duty: str, why: str) -> None:
-        """Give a duty up, so that another process can take it at once."""
+        """Release a duty so that another process can acquire it at once."""
         lease = self._duties.pop(duty, None)
         if lease is None:
             return
@@ -191,7 +191,7 @@
         await lease.end()
 
     async def keep_plan(self, duty: str, plan: KeptPlan) -> None:
-        """Keep what a plan was made for, for planners to come and for the other gateways."""
+        """Store the inputs of a plan for later planners and the other gateways."""
         store = Store(self.address, self.era)
         try:
             await store.put(PLAN_PREFIX + duty, msgspec.json.encode(plan), CALL_TIMEOUT_S)
@@ -201,7 +201,7 @@
             store.close()
 
     async def end(self) -> None:
-        """End all leases at a planned stop, so that others notice at once."""
+        """Revoke all leases at a planned stop so that other processes notice at once."""
         for duty in list(self._duties):
             await self.drop_duty(duty, "planned stop")
         await self._member.end()
@@ -210,7 +210,7 @@
         if self._is_listed:
             await self._member.renew()
             return
-        # An entry that is there is of this process's earlier life: its name is its own.
+        # Names are unique, so an existing entry stems from a previous run of this process.
         await self._member.begin(replace=True)
         self._is_listed = True
         log_event(_LOG, "member_listed", name=self.name)
@@ -221,9 +221,9 @@
         self._is_listed = False
 
     async def _keep_duty(self, duty: str, lease: Lease) -> None:
-        """Renew a duty's lease until it is over.
+        """Renew a duty's lease until it is lost.
 
-        The pause counts from when a renewal was asked for: a slow answer must not delay the next.
+        The interval starts when a renewal is requested: a slow response must not delay the next.
         """
         pause_s = DUTY_TIMES.renew_s
         while True:
--- a/dalehollow/platform/store.py
+++ b/dalehollow/platform/store.py
@@ -1,6 +1,6 @@
-"""Read and write the users' metadata store: items, ranges, watches, leases.
+"""Access the metadata store: range reads, watches, conditional writes and leases.
 
-Revisions of this module hold the era in front (`protocol/revisions.py`).
+Revisions returned here carry the store era in their high bits (`protocol/revisions.py`).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from dalehollow.telemetry.logs import log_event
 
 CONNECT_TIMEOUT_S = 1.0
-"""One lost opening packet is sent again after a second; a store that is near answers in ms."""
+"""TCP retransmits a lost SYN after 1 s; a nearby store accepts within milliseconds."""
 _HISTORY_GONE_STATUS = 410
 _CONFLICT_STATUS = 412
 _LEASE_GONE_STATUS = 404
@@ -34,55 +34,56 @@
 
 
 class ConflictError(Exception):
-    """Report that a condition of a write did not hold; nothing of it was done."""
+    """Signal that a write precondition failed; nothing was written."""
 
 
 class LeaseGoneError(LookupError):
-    """Report that a lease is over, and what was kept under it is gone."""
+    """Signal that a lease has expired or was revoked; the keys attached to it are deleted."""
 
 
 class HistoryGoneError(LookupError):
-    """Report that the store has dropped the changes a watch asked for: read everything again."""
+    """Signal that the store dropped the changes a watch requested; a full read is required."""
 
 
 class StoreEra:
-    """Hold how often the store was restored, as all connections of a process heard it."""
+    """Count store restores, as seen by all connections of a process."""
 
     def __init__(self) -> None:
-        """Begin with none: a store that names no era is in era 0."""
+        """Start in era 0, which also stands for a store that reports no era."""
         self.newest = 0
-        self._unusable = b""
+        self._last_invalid = b""
 
-    def take(self, told: bytes | None) -> int:
-        """Return the era of an answer; raise PlatformError for an answer of an earlier one.
+    def take(self, header: bytes | None) -> int:
+        """Record and return the era of a response.
 
-        Such an answer was made before the store was restored: its revisions would hide those that
-        are given out again. An era that is missing or no number says nothing: the newest holds.
+        Raises PlatformError if the era is lower than one already seen: the response predates the
+        restore, and its revisions would mask those that the restored store assigns again. A
+        missing or invalid era is ignored and the newest known one is returned.
         """
-        era = self._parse(told)
+        era = self._parse(header)
         if era is None:
             return self.newest
         if era < self.newest:
             log_event(_LOG, "store_era_lower", logging.WARNING, era=era, newest=self.newest)
-            message = f"an answer of era {era} after {self.newest}"
+            message = f"response has era {era} after {self.newest} was seen"
             raise PlatformError(message, may_have_written=True)
         if era > self.newest:
             log_event(_LOG, "store_era", era=era, before=self.newest)
             self.newest = era
         return era
 
-    def _parse(self, told: bytes | None) -> int | None:
-        if told is not None and told.isdigit() and len(told) < 20 and int(told) <= MAX_ERA:
-            return int(told)
-        if told is not None and told != self._unusable:
-            self._unusable = told
-            log_event(_LOG, "store_era_unusable", logging.ERROR, era=told.decode("latin-1"))
+    def _parse(self, header: bytes | None) -> int | None:
+        if header is not None and header.isdigit() and len(header) < 20 and int(header) <= MAX_ERA:
+            return int(header)
+        if header is not None and header != self._last_invalid:
+            self._last_invalid = header
+            log_event(_LOG, "store_era_unusable", logging.ERROR, era=header.decode("latin-1"))
         return None
 
 
 @dataclass(frozen=True)
 class Reading:
-    """Hold what a call told and the store's revision it is as of."""
+    """Hold the changes returned by a read or watch and the revision they are complete up to."""
 
     changes: tuple[Change, ...]
     revision: int
@@ -97,7 +98,7 @@
 
 class _Page(msgspec.Struct):
     items: list[_Item]
-    # Called a time stamp, but it is the store's revision counter.
+    # The store calls this field a timestamp, but it is the revision counter.
     revision: int = msgspec.field(name="timestamp")
     has_more: bool = msgspec.field(name="hasMore", default=False)
 
@@ -117,25 +118,26 @@
 
 
 class Store:
-    """Call the store over one kept connection; one call at a time."""
+    """Call the store over one persistent connection; calls must not overlap."""
 
     def __init__(self, address: str, era: StoreEra | None = None) -> None:
-        """Prepare; `address` is host:port, `era` is shared by all connections of a process."""
+        """Create a client; `address` is host:port, `era` is shared by all clients of a process."""
         self._address = address
         self.era = era or StoreEra()
         self._connection: ClientConnection | None = None
         self.calls = 0
-        # How long the last answer was on its way, from its head to its end or to where it broke
-        # off; 0 where none began.
+        # Time from the head of the last response to its end or to the failure that cut it off;
+        # 0 if no response began.
         self.transfer_s = 0.0
 
     async def read_range(self, prefix: str, timeout_s: float) -> Reading:
-        """Return all items under a prefix; raise PlatformError if the store fails.
+        """Return all items under a prefix.
 
-        `timeout_s` bounds the wait for each answer to begin.
+        `timeout_s` limits the wait for the start of each response. Raises PlatformError if the
+        store fails.
 
-        Pages are no snapshot, so the revision is that of the first page: what changes while the
-        rest is read is told again by a watch from there.
+        The pages do not form a snapshot, so the result carries the revision of the first page: a
+        watch from there reports again whatever changed while later pages were read.
         """
         changes: list[Change] = []
         first: tuple[int, int] | None = None
@@ -148,7 +150,7 @@
             era = self.era.newest
             first = first or (era, page.revision)
             if era != first[0]:
-                message = f"{path}: the store was restored between two pages"
+                message = f"{path}: store was restored between two pages"
                 raise PlatformError(message, may_have_written=False)
             changes += (_convert_item(item, era) for item in page.items)
             if not page.has_more or not page.items:
@@ -158,10 +160,11 @@
     async def watch(
         self, prefix: str, after_revision: int, wait_s: float, timeout_s: float
     ) -> Reading:
-        """Wait for changes under a prefix; raise HistoryGoneError or PlatformError.
+        """Wait up to `wait_s` for changes under a prefix.
 
-        `timeout_s` bounds the wait for the answer to begin. Changes between two eras are told by
-        no watch: a restored store may have given the revision out again.
+        `timeout_s` limits the wait for the start of the response. Raises PlatformError if the
+        store fails, and HistoryGoneError if the changes are not available. That includes any
+        revision of an earlier era, since a restored store may have assigned it again.
         """
         path = (
             f"/kv-watch?pathPrefix={quote(prefix, safe='')}"
@@ -175,17 +178,19 @@
         return Reading(changes, join_revision(era, events.revision))
 
     async def create(self, key: str, value: bytes, lease: int, timeout_s: float) -> int:
-        """Create a key that must not be there; return the revision, or raise ConflictError."""
+        """Create a key and return its revision; raise ConflictError if it exists."""
         item = {"key": key, "value": base64.b64encode(value).decode(), "lease": lease}
-        # A condition of revision 0 says that the key is not there.
+        # An expected revision of 0 requires that the key does not exist.
         body = {"expectedRevision": [{"key": key, "revision": 0}], "setKeys": [item]}
         answer = await self._call("/kv-txn", timeout_s, method="POST", body=body)
         return join_revision(self.era.newest, _decode(answer, _Written).revision)
 
     async def put(self, key: str, value: bytes, timeout_s: float, *, lease: int = 0) -> int:
-        """Write a key whatever it holds, for values of which any recent one will do.
+        """Write a key unconditionally and return its revision.
 
-        Return the revision; raise LeaseGoneError if the lease is over.
+        For values where the last write may win.
+
+        Raises LeaseGoneError if the lease has expired.
         """
         item = {"key": key, "value": base64.b64encode(value).decode(), "lease": lease}
         body = {"expectedRevision": [], "setKeys": [item]}
@@ -193,7 +198,7 @@
         return join_revision(self.era.newest, _decode(answer, _Written).revision)
 
     async def delete(self, key: str, revision: int, timeout_s: float) -> None:
-        """Delete a key if it is still of this revision, or raise ConflictError."""
+        """Delete a key; raise ConflictError if its revision has changed."""
         if read_era(revision) != self.era.newest:
             raise ConflictError(key)
         expected = {"key": key, "revision": read_number(revision)}
@@ -201,22 +206,22 @@
         await self._call("/kv-txn", timeout_s, method="POST", body=body)
 
     async def grant_lease(self, ttl_s: float, timeout_s: float) -> tuple[int, float]:
-        """Return a new lease and the seconds that it holds."""
+        """Create a lease and return its id and its time to live in seconds."""
         body = {"ttlMs": round(ttl_s * 1000)}
         answer = await self._call("/kv-lease", timeout_s, method="POST", body=body)
         lease = _decode(answer, _Lease)
         return lease.lease, lease.ttl_ms / 1000
 
     async def keep_lease(self, lease: int, timeout_s: float) -> None:
-        """Renew a lease, or raise LeaseGoneError."""
+        """Renew a lease; raise LeaseGoneError if it has expired."""
         await self._call(f"/kv-keep/{lease}", timeout_s, method="POST", body={})
 
     async def end_lease(self, lease: int, timeout_s: float) -> None:
-        """End a lease, and with it what is kept under it."""
+        """Revoke a lease and delete the keys attached to it."""
         await self._call(f"/kv-lease-end/{lease}", timeout_s, method="DELETE")
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection."""
         if self._connection is not None:
             self._connection.abort()
             self._connection = None
@@ -239,18 +244,18 @@
                     self._connection = await connect(self._address, CONNECT_TIMEOUT_S)
                 self._connection.send([head.encode(), b"\r\n", data])
                 answer = await self._connection.read_head()
-                begun_s = clock()
+                response_start_s = clock()
                 self.era.take(answer.get(_ERA_HEADER))
                 try:
                     answer_body = await self._connection.read_body_while_it_comes(limit)
                 finally:
-                    self.transfer_s = clock() - begun_s
+                    self.transfer_s = clock() - response_start_s
         except (ConnectError, CutError, TimeoutError) as exc:
             received_bytes = self._count_received() - received_before
             self.close()
             message = f"{path}: {str(exc) or 'timed out'} after {received_bytes} bytes"
-            sent = is_write and not isinstance(exc, ConnectError)
-            raise PlatformError(message, may_have_written=sent) from exc
+            may_have_written = is_write and not isinstance(exc, ConnectError)
+            raise PlatformError(message, may_have_written=may_have_written) from exc
         except (PlatformError, asyncio.CancelledError):
             self.close()
             raise
@@ -261,7 +266,7 @@
 
     def _check_same_era(self, revision: int) -> None:
         if read_era(revision) != self.era.newest:
-            raise HistoryGoneError(f"the store was restored, its era is {self.era.newest}")
+            raise HistoryGoneError(f"store was restored, its era is now {self.era.newest}")
 
     def _check_status(self, path: str, status: int, body: bytes) -> bytes:
         if status == _OK_STATUS:
@@ -272,22 +277,22 @@
             raise ConflictError(path)
         if status == _LEASE_GONE_STATUS:
             raise LeaseGoneError(path)
-        # Another connection may reach a part of the store that serves this process.
+        # A new connection may reach a store replica that accepts requests from this process.
         self.close()
         raise PlatformError(f"{path}: status {status}", may_have_written=False)
 
 
 def _decode(body: bytes, kind: type[_T]) -> _T:
-    """Return an answer; raise PlatformError if it is none."""
+    """Decode a response body; raise PlatformError if it is invalid."""
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.MsgspecError, RecursionError) as exc:
-        message = f"an answer that cannot be read: {exc}"
+        message = f"cannot decode store response: {exc}"
         raise PlatformError(message, may_have_written=True) from exc
 
 
 def _convert_item(item: _Item, era: int) -> Change:
-    """Return an item; one whose bytes cannot be read holds none, so that it names nothing."""
+    """Convert an item to a change; invalid base64 yields an empty value, which names nothing."""
     revision = join_revision(era, item.revision)
     if item.deleted:
         return Change(item.key, None, revision)
