--- a/dalehollow/platform/__init__.py
+++ b/dalehollow/platform/__init__.py
@@ -1,6 +1,6 @@
-"""Meet the platform: its key-value service, its lists and what its operator writes.
+"""Interface to the platform: its key-value service, its lists and the operator's configuration.
 
-Nothing is imported here: a gateway starts with the few modules that it needs.
+Imports nothing, so that a gateway loads only the modules it needs.
 """
 
 from __future__ import annotations
--- a/dalehollow/platform/keyvalue.py
+++ b/dalehollow/platform/keyvalue.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """Hold a value and the revision at which it was written; revision 0 means absent."""
+    """Hold a value and its revision; revision 0 means that the key does not exist."""
 
     value: bytes
     revision: int
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True)
 class Swap:
-    """Tell the outcome of a compare-and-swap and the revision now in force."""
+    """Hold the outcome of a compare-and-swap and the current revision of the key."""
 
     won: bool
     revision: int
 
 
 class KeyValue(Protocol):
-    """Name what the system needs of the platform's key-value service."""
+    """Define the operations needed from the platform's key-value service."""
 
     def get(self, key: str, *, timeout_s: float = 2.0) -> Result[Entry, PlatformError]:
         """Read a key."""
@@ -45,20 +45,20 @@
         ttl_ms: int | None = None,
         timeout_s: float = 2.0,
     ) -> Result[Swap, PlatformError]:
-        """Write a key only if its revision is the expected one; `ttl_ms` makes it a lease."""
+        """Write a key if its revision is the expected one; with `ttl_ms` the key expires."""
 
     def delete(self, key: str, *, timeout_s: float = 2.0) -> Result[None, PlatformError]:
-        """Delete a key; one that is absent already is no failure."""
+        """Delete a key; a missing key is not an error."""
 
     def watch(self, key: str, *, after_revision: int, wait_ms: int) -> Result[Entry, PlatformError]:
-        """Wait until the key is newer than `after_revision`, or until `wait_ms` have passed."""
+        """Wait up to `wait_ms` for a revision of the key above `after_revision`."""
 
 
 class HttpKeyValue:
-    """Speak to the service over HTTP."""
+    """Call the key-value service over HTTP."""
 
     def __init__(self, address: str) -> None:
-        """Prepare the connections; `address` is host:port."""
+        """Create a client; `address` is host:port."""
         self._address = address
         self._http = HttpClient(connect_timeout_s=_CONNECT_TIMEOUT_S, max_connections=8)
 
@@ -76,7 +76,7 @@
         ttl_ms: int | None = None,
         timeout_s: float = 2.0,
     ) -> Result[Swap, PlatformError]:
-        """Write a key only if its revision is the expected one."""
+        """Write a key if its revision is the expected one."""
         query = f"expect={expected_revision}" + (f"&ttl_ms={ttl_ms}" if ttl_ms else "")
         call = self._http.call(
             "PUT", self._address, f"/kv/{key}?{query}", body=value, timeout_s=timeout_s
@@ -96,7 +96,7 @@
         return Ok(None)
 
     def watch(self, key: str, *, after_revision: int, wait_ms: int) -> Result[Entry, PlatformError]:
-        """Wait for a newer value of the key."""
+        """Wait for a newer revision of the key."""
         path = f"/kv/{key}?after={after_revision}&wait_ms={wait_ms}"
         timeout_s = wait_ms / 1000 + 2.0
         return _read_entry(self._http.call("GET", self._address, path, timeout_s=timeout_s))
--- a/dalehollow/platform/operator.py
+++ b/dalehollow/platform/operator.py
@@ -1,4 +1,4 @@
-"""Turn the operator's configuration into a routing table."""
+"""Decode the operator's configuration into a routing table."""
 
 from __future__ import annotations
 
@@ -54,17 +54,17 @@
     slots: int
     step_ms: float
     per_seq_ms: float
-    # Per 1,000 tokens of context, for each request in the batch.
+    # ms per 1,000 context tokens for each request in the batch.
     context_per_k: float
     read_per_s: float
     stride: int = 1
     usual: _Usual = msgspec.field(default_factory=_Usual)
     form_ms: float = 0.0
     link_mbps: float = msgspec.field(name="linkMbps", default=0.0)
-    # Sets of layers that are mapped together; each is planned as one layer.
+    # Number of layer sets that share a map; each is planned as one layer.
     sets: int = 0
     experts: int = 0
-    # Experts that one rank can hold of a set, and how many of a new map may be new to it.
+    # Experts of a set that one rank can hold, and how many new ones a map change may give it.
     places: int = 0
     spare: int = 0
     expert_mb: float = msgspec.field(name="expertMb", default=0.0)
@@ -98,7 +98,7 @@
 
 
 def decode_config(value: bytes) -> RoutingTable:
-    """Return the table that a configuration describes; raise ValueError if it is none."""
+    """Return the routing table of a configuration; raise ValueError if it is invalid."""
     config = msgspec.json.decode(value, type=_Config)
     accounts = config.tenants or []
     return RoutingTable(
@@ -118,7 +118,7 @@
 
 def _convert_route(route: _Route) -> Route:
     if route.kind not in _KINDS:
-        raise ValueError(f"route {route.name!r} is of kind {route.kind!r}; choices: {list(_KINDS)}")
+        raise ValueError(f"route {route.name!r}: kind {route.kind!r} is not one of {list(_KINDS)}")
     splits = [Target(s.service, s.weight) for s in route.traffic_split]
     return Route(
         name=route.name,
--- a/dalehollow/platform/ranks.py
+++ b/dalehollow/platform/ranks.py
@@ -1,4 +1,4 @@
-"""Give orders to the model servers that are ranks of a group, and read what they tell."""
+"""Send orders to the model servers that form the ranks of a group, and read their reports."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 CONNECT_TIMEOUT_S = 0.12
 ORDER_TIMEOUT_S = 0.12
-"""An order is answered in a round trip; one without an answer by then will not get one."""
-LINK_SHARE = 2.0
-"""A map is given twice the time that it takes on an idle link: streams go on beside it."""
+"""Ranks answer an order within one round trip; without a response by then none will come."""
+TRANSFER_TIME_FACTOR = 2.0
+"""Sending a map may take twice as long as on an idle link, which it shares with streams."""
 READ_TIMEOUT_S = 0.5
 _TAKEN_STATUSES = frozenset({200, 202})
 _OK_STATUS = 200
@@ -34,13 +34,13 @@
 
 class _Report(msgspec.Struct):
     group: _Group
-    # The last pass that began, counted since the group formed.
+    # Number of the last pass that began, counted since the group was formed.
     step: int = 0
-    # The versions of the maps in use and prepared.
+    # Versions of the map in use and of the prepared map.
     map: int = 0
     prepared: int | None = None
     armed: _Armed | None = None
-    # The pass that is not to begin.
+    # Pass that must not begin.
     held: int | None = None
     pace: float = 1.0
 
@@ -48,7 +48,7 @@
 class _Counts(msgspec.Struct):
     step: int
     epoch: int
-    # Layer after layer in one list.
+    # Counts of all layers, concatenated.
     counts: list[int]
 
 
@@ -62,10 +62,10 @@
 
 
 class RankClient:
-    """Speak to the ranks of one group, by their addresses."""
+    """Call the ranks of one group by their addresses."""
 
     def __init__(self, layers: int, addresses: Mapping[int, str], link_mbps: float) -> None:
-        """Prepare; `addresses` is read anew at each call, `link_mbps` is this VM's own link."""
+        """Create a client; `addresses` is read at each call, `link_mbps` is this VM's link rate."""
         self._layers = layers
         self._link_mbps = link_mbps
         self._addresses = addresses
@@ -73,36 +73,37 @@
         self.counts_read = 0
 
     async def prepare(self, rank: int, version: int, group_map: GroupMap, epoch: int) -> OrderReply:
-        """Copy the weights that a map needs.
+        """Order a rank to copy the weights that a map needs.
 
-        A large group's map goes to all ranks at once and fills this VM's link for a while.
+        The map goes to all ranks at once, so for a large group the timeout includes the time to
+        send it over this VM's link.
         """
         order = {"operation": "prepare", "version": version, "map": group_map, "epoch": epoch}
         body = msgspec.json.encode(order)
         bits = len(body) * len(self._addresses) * 8
-        sending_s = bits / (self._link_mbps * 1e6) * LINK_SHARE
-        return await self._send(rank, body, ORDER_TIMEOUT_S + sending_s)
+        transfer_s = bits / (self._link_mbps * 1e6) * TRANSFER_TIME_FACTOR
+        return await self._send(rank, body, ORDER_TIMEOUT_S + transfer_s)
 
     async def arm(self, rank: int, version: int, step: int, epoch: int) -> OrderReply:
-        """Take a prepared map as a step begins."""
+        """Order a rank to switch to a prepared map when a step begins."""
         return await self._order(
             rank, {"operation": "arm", "version": version, "step": step, "epoch": epoch}
         )
 
     async def disarm(self, rank: int, version: int, epoch: int) -> OrderReply:
-        """Take back an arm."""
+        """Cancel an `arm` order."""
         return await self._order(rank, {"operation": "disarm", "version": version, "epoch": epoch})
 
     async def hold(self, rank: int, step: int, epoch: int) -> OrderReply:
-        """Keep the group from beginning a step."""
+        """Prevent the group from beginning a step."""
         return await self._order(rank, {"operation": "hold", "step": step, "epoch": epoch})
 
     async def release(self, rank: int, step: int, epoch: int) -> OrderReply:
-        """End a hold."""
+        """Cancel a `hold` order."""
         return await self._order(rank, {"operation": "go", "step": step, "epoch": epoch})
 
     async def read_report(self, rank: int) -> RankReport | None:
-        """Read a rank's report."""
+        """Return a rank's report, or None if the call failed."""
         body = await self._get(rank, "/report")
         if body is None:
             return None
@@ -121,18 +122,18 @@
         )
 
     async def read_counts(self, rank: int) -> RankCounts | None:
-        """Read a rank's counts."""
+        """Return a rank's token counts by layer, or None if the call failed."""
         body = await self._get(rank, "/picked")
         if body is None:
             return None
-        picked = msgspec.json.decode(body, type=_Counts)
-        self.counts_read += len(picked.counts)
-        width = len(picked.counts) // self._layers
-        layers = (picked.counts[i * width : (i + 1) * width] for i in range(self._layers))
-        return RankCounts(picked.epoch, picked.step, tuple(map(tuple, layers)))
+        reply = msgspec.json.decode(body, type=_Counts)
+        self.counts_read += len(reply.counts)
+        width = len(reply.counts) // self._layers
+        layers = (reply.counts[i * width : (i + 1) * width] for i in range(self._layers))
+        return RankCounts(reply.epoch, reply.step, tuple(map(tuple, layers)))
 
     async def read_layers(self, rank: int) -> tuple[tuple[int, ...], ...] | None:
-        """Read the experts that stand at a rank."""
+        """Return the experts a rank holds by layer, or None if the call failed."""
         body = await self._get(rank, "/picked?lists=1")
         if body is None:
             return None
@@ -144,19 +145,19 @@
 
     async def _send(self, rank: int, body: bytes, timeout_s: float) -> OrderReply:
         self.orders += 1
-        answered = await self._call(rank, "POST", "/order", body, timeout_s)
-        if answered is None:
+        response = await self._call(rank, "POST", "/order", body, timeout_s)
+        if response is None:
             return OrderReply.UNANSWERED
-        return OrderReply.TAKEN if answered[0] in _TAKEN_STATUSES else OrderReply.REFUSED
+        return OrderReply.TAKEN if response[0] in _TAKEN_STATUSES else OrderReply.REFUSED
 
     async def _get(self, rank: int, path: str) -> bytes | None:
-        answered = await self._call(rank, "GET", path, b"", READ_TIMEOUT_S)
-        return answered[1] if answered is not None and answered[0] == _OK_STATUS else None
+        response = await self._call(rank, "GET", path, b"", READ_TIMEOUT_S)
+        return response[1] if response is not None and response[0] == _OK_STATUS else None
 
     async def _call(
         self, rank: int, method: str, path: str, body: bytes, timeout_s: float
     ) -> tuple[int, bytes] | None:
-        """Call a rank on a connection of its own; None where no whole answer came."""
+        """Call a rank over a new connection; return None without a complete response."""
         address = self._addresses.get(rank)
         if address is None:
             return None
--- a/dalehollow/platform/servers.py
+++ b/dalehollow/platform/servers.py
@@ -1,4 +1,4 @@
-"""Turn the entries that upstreams keep in the store into listed upstreams."""
+"""Decode the entries that upstreams write to the store."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 _GROUP_STATES = (_GROUP_OPEN, _GROUP_BROKEN)
 _LAST_PORT = 65_535
 _ID = re.compile(r"[!-.0-~]+")
-"""What may stand in a header line, without a slash."""
+"""Characters allowed in a header value, except the slash."""
 
 
 class _Group(msgspec.Struct):
@@ -34,26 +34,26 @@
     slots: int
     state: str
     group: _Group | None = None
-    # Ranks in the group.
+    # Number of ranks in the group.
     size: int = 0
-    # Despite its name the start of the process, in Unix milliseconds.
+    # Start time of the process in Unix milliseconds.
     born: int = 0
 
 
 def read_incarnation(key: str) -> str:
-    """Return the id of the upstream that keeps an entry: its key alone holds it."""
+    """Return the id of the upstream that owns an entry; only the key contains it."""
     return key.removeprefix(UPSTREAM_PREFIX)
 
 
 def decode_upstream(key: str, value: bytes) -> ListedUpstream:
-    """Return the upstream that an entry describes; raise ValueError if it is none.
+    """Return the upstream that an entry describes; raise ValueError if the entry is invalid.
 
-    Others may write entries too: what is not whole, or says what is not known here, names none.
+    Other programs may write entries too, so incomplete entries and unknown values are rejected.
     """
     try:
         entry = msgspec.json.decode(value, type=_Entry)
     except RecursionError as exc:
-        raise ValueError("it is nested too deeply") from exc
+        raise ValueError("entry is nested too deeply") from exc
     mistakes = _find_mistakes(read_incarnation(key), entry)
     if mistakes:
         raise ValueError("; ".join(mistakes))
@@ -77,18 +77,24 @@
 def _find_mistakes(incarnation: str, entry: _Entry) -> list[str]:
     group = entry.group
     mistakes = [
-        (not _ID.fullmatch(incarnation), f"id {incarnation!r} is none"),
-        (not entry.service, "the service has no name"),
-        (not _is_address(entry.address), f"address {entry.address!r} is no IP number and port"),
-        (entry.slots < 1, f"{entry.slots} slots, must be 1 or more"),
-        (entry.born < 0, f"started at {entry.born} ms, before all time"),
-        (entry.state not in _STATES, f"state {entry.state!r}; choices: {_STATES}"),
+        (not _ID.fullmatch(incarnation), f"invalid id {incarnation!r}"),
+        (not entry.service, "service name is empty"),
+        (
+            not _is_address(entry.address),
+            f"address {entry.address!r} is not an IPv4 address and port",
+        ),
+        (entry.slots < 1, f"slots is {entry.slots}, must be at least 1"),
+        (entry.born < 0, f"start time is {entry.born} ms, must not be negative"),
+        (entry.state not in _STATES, f"state {entry.state!r} is not one of {_STATES}"),
     ]
     if group is not None:
         is_rank = 0 <= group.rank < (entry.size or math.inf)
         mistakes += [
-            (not is_rank, f"rank {group.rank} of {entry.size}"),
-            (group.state not in _GROUP_STATES, f"group {group.state!r}; choices: {_GROUP_STATES}"),
+            (not is_rank, f"rank {group.rank} is out of range for group size {entry.size}"),
+            (
+                group.state not in _GROUP_STATES,
+                f"group state {group.state!r} is not one of {_GROUP_STATES}",
+            ),
         ]
     return [text for is_wrong, text in mistakes if is_wrong]
 
--- a/dalehollow/platform/vms.py
+++ b/dalehollow/platform/vms.py
@@ -1,4 +1,4 @@
-"""Read the platform's list of live and leaving VMs, which lags and has outages."""
+"""Read the platform's list of live and leaving VMs, which may be outdated or unavailable."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True)
 class Vm:
-    """Hold one line of the list; `state` is live or leaving.
+    """Hold one record of the list; `state` is live or leaving.
 
-    Lines of entries carry their hall and the address at which other entries reach them.
+    Records of entries carry their hall and the address at which other entries reach them.
     """
 
     name: str
@@ -27,15 +27,15 @@
 
 
 class HttpVmList:
-    """Speak to the list over HTTP."""
+    """Read the VM list over HTTP."""
 
     def __init__(self, address: str) -> None:
-        """Prepare the connection; `address` is host:port."""
+        """Create a client; `address` is host:port."""
         self._address = address
         self._http = HttpClient(connect_timeout_s=_TIMEOUT_S, max_connections=1)
 
     def read(self) -> Result[tuple[Vm, ...], PlatformError]:
-        """Read the list as the platform has it now."""
+        """Return the current list."""
         call = self._http.call("GET", self._address, "/vms", timeout_s=_TIMEOUT_S)
         if isinstance(call, Err):
             return Err(PlatformError(call.err_value.message, may_have_written=False))
