--- a/dalehollow/config/__init__.py
+++ b/dalehollow/config/__init__.py
@@ -1,4 +1,4 @@
-"""Check, apply and spread the operators' configuration."""
+"""Check, apply and distribute the operators' configuration."""
 
 from __future__ import annotations
 
--- a/dalehollow/config/check.py
+++ b/dalehollow/config/check.py
@@ -1,4 +1,4 @@
-"""Check an operators' file whole and report every mistake at once."""
+"""Validate a configuration file and report all errors at once."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 
 def check_text(text: str) -> Result[Config, tuple[Mistake, ...]]:
-    """Check a whole operators' file and return the configuration or every mistake."""
+    """Validate a configuration file and return the configuration or all errors."""
     if len(text.encode()) > MAX_TEXT_BYTES:
-        return Err((Mistake(1, "", f"is over {MAX_TEXT_BYTES} bytes"),))
+        return Err((Mistake(1, "", f"is longer than {MAX_TEXT_BYTES} bytes"),))
     try:
         raw, lines = parse_jsonc(text)
     except JsoncError as exc:
-        return Err((Mistake(exc.line, "", f"is not JSON with comments: {exc}"),))
+        return Err((Mistake(exc.line, "", f"is not valid JSON with comments: {exc}"),))
     walker = Walker(lines.of)
     cfg = _read_config(walker, raw)
     return Err(tuple(walker.mistakes)) if walker.mistakes else Ok(cfg)
@@ -171,7 +171,7 @@
 
 
 def _check_routes(walker: Walker, services: Mapping[str, Service]) -> None:
-    """Report two services that claim the same model or path prefix."""
+    """Report services that claim the same model or path prefix."""
     owners: dict[str, str] = {}
     for service in services.values():
         claims = [*service.models, *([service.path_prefix] if service.path_prefix else [])]
@@ -182,7 +182,7 @@
 
 
 def _check_keys(walker: Walker, accounts: Mapping[str, Account]) -> None:
-    """Report two accounts with one key, which could not be told apart."""
+    """Report accounts that share a key and could not be told apart."""
     owners: dict[str, str] = {}
     for account in accounts.values():
         first = owners.setdefault(account.key_sha256, account.name)
--- a/dalehollow/config/difference.py
+++ b/dalehollow/config/difference.py
@@ -1,4 +1,4 @@
-"""Tell two configurations apart, name by name."""
+"""List the differences between two configurations by table and name."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Difference:
-    """Name one entry that is `added`, `changed` or `removed`."""
+    """Describe one entry; `kind` is added, changed or removed."""
 
     kind: str
     table: str
@@ -26,7 +26,7 @@
 
 
 def list_differences(before: Config | None, after: Config) -> list[Difference]:
-    """List what differs, table by table as an operators' file has them."""
+    """List the differences in the order of the tables of a configuration file."""
     found: list[Difference] = []
     for field, table in _TABLES.items():
         old = getattr(before, field) if before is not None else {}
--- a/dalehollow/config/fields.py
+++ b/dalehollow/config/fields.py
@@ -1,4 +1,4 @@
-"""Read the fields of an operators' file and collect every mistake with its line."""
+"""Read the fields of a configuration file and collect all errors with their lines."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 @dataclass(frozen=True)
 class Mistake:
-    """Point at one mistake: where it stands, what was given and what is allowed."""
+    """Describe one error: its location, the given value and the allowed values."""
 
     line: int
     path: str
     message: str
 
     def __str__(self) -> str:
-        """Return one line for an operator."""
+        """Format the error as one line of text."""
         return f"line {self.line}: {self.path or 'file'}: {self.message}"
 
 
 class Walker:
-    """Collect mistakes while values are read."""
+    """Collect errors while values are read."""
 
     def __init__(self, lines: Mapping[str, int]) -> None:
         self._lines = lines
         self.mistakes: list[Mistake] = []
 
     def report(self, path: str, message: str) -> None:
-        """Note a mistake at a path."""
+        """Record an error at a path."""
         self.mistakes.append(Mistake(self._line_of(path), path, message))
 
     def _line_of(self, path: str) -> int:
@@ -41,7 +41,7 @@
 
 
 class Fields:
-    """Read the fields of one object and report those that are unknown, missing or wrong."""
+    """Read the fields of one object and report unknown, missing and invalid ones."""
 
     def __init__(self, walker: Walker, path: str, raw: Any) -> None:
         self.path = path
@@ -52,11 +52,11 @@
             walker.report(path, f"is {raw!r}, must be an object")
 
     def report(self, name: str, message: str) -> None:
-        """Note a mistake at one of the fields."""
+        """Record an error at a field."""
         self.walker.report(f"{self.path}.{name}" if self.path else name, message)
 
     def take(self, name: str, default: Any = REQUIRED) -> Any:
-        """Return a field as it is, or its default."""
+        """Return the raw value of a field, or its default."""
         self._seen.add(name)
         if name in self._raw:
             return self._raw[name]
@@ -90,7 +90,7 @@
         return value or choices[0]
 
     def matching(self, name: str, pattern: re.Pattern[str], meaning: str) -> str:
-        """Return text of a form; `meaning` tells the form in words."""
+        """Return text that matches a pattern; `meaning` describes the pattern in words."""
         value = self.take(name)
         if value is not None and not (isinstance(value, str) and pattern.fullmatch(value)):
             self.report(name, f"is {value!r}, must be {meaning}")
@@ -98,7 +98,7 @@
         return value or ""
 
     def names(self, name: str, known: Mapping[str, Any] | None, default: Any = REQUIRED) -> Any:
-        """Return a list of different names, of those that are known if given."""
+        """Return a list of distinct names, all in `known` if it is given."""
         value = self.take(name, default)
         if value is None:
             return ()
@@ -109,17 +109,17 @@
             if known is not None and item not in known:
                 self.report(f"{name}[{idx}]", f"is {item!r}, must be one of {list_names(known)}")
         if len(set(value)) != len(value):
-            self.report(name, "names something twice")
+            self.report(name, "contains duplicate names")
         return tuple(value)
 
     def finish(self) -> None:
-        """Report the fields that nothing asked for."""
+        """Report the fields that were not read."""
         for name in self._raw:
             if name not in self._seen:
                 self.report(name, f"is unknown; choices: {', '.join(sorted(self._seen))}")
 
 
 def list_names(known: Mapping[str, Any], most: int = 12) -> str:
-    """Return the first names in order, and how many there are."""
+    """Return the first names in sorted order and, if shortened, their number."""
     names = sorted(known)
     return ", ".join(names[:most]) + (f" … ({len(names)} in all)" if len(names) > most else "")
--- a/dalehollow/config/holder.py
+++ b/dalehollow/config/holder.py
@@ -1,4 +1,4 @@
-"""Hold the configuration in force in one process; its version only ever rises."""
+"""Hold the active configuration of a process; its version never decreases."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class InForce:
-    """Hold one accepted configuration as a whole: never mixed with another."""
+    """Hold one accepted configuration as a unit that is never mixed with another."""
 
     manifest: Manifest
     config: Config | None
@@ -23,10 +23,10 @@
 
 
 class ConfigHolder:
-    """Keep the newest configuration that this process has seen."""
+    """Hold the newest configuration that this process has received."""
 
     def __init__(self) -> None:
-        """Begin with version 0, which serves nothing."""
+        """Start with version 0, an empty configuration."""
         self._in_force = InForce(EMPTY_MANIFEST, None, {})
         self._confirmed_at_ms = 0
         self._listeners: list[Callable[[InForce], None]] = []
@@ -34,34 +34,34 @@
 
     @property
     def in_force(self) -> InForce:
-        """Return the configuration in force."""
+        """Return the active configuration."""
         return self._in_force
 
     @property
     def version(self) -> int:
-        """Return the version in force."""
+        """Return the active version."""
         return self._in_force.manifest.version
 
     @property
     def confirmed_at_ms(self) -> int:
-        """Return the wall-clock time at which the version in force was known to be current."""
+        """Return the latest wall-clock time at which the active version was known to be current."""
         return self._confirmed_at_ms
 
     def on_change(self, listener: Callable[[InForce], None]) -> None:
-        """Call the listener with each new configuration, and with the present one if there is."""
+        """Call the listener with each new configuration, and with the current one if any."""
         with self._lock:
             self._listeners.append(listener)
             if self._in_force.config is not None:
                 listener(self._in_force)
 
     def list_missing(self, manifest: Manifest) -> tuple[str, ...]:
-        """Return the ids of the parts of a manifest that are not held yet."""
+        """Return the ids of the parts of a manifest that are not held here."""
         return tuple(sorted(set(manifest.parts.values()) - set(self._in_force.parts)))
 
     def offer(self, manifest: Manifest, parts: Mapping[str, bytes]) -> bool:
-        """Take a configuration if it is newer and whole; return whether it is now in force.
+        """Activate a configuration if it is newer and complete; return whether it was activated.
 
-        `parts` holds at least those that are missing, by id.
+        `parts` contains at least the missing parts, by id.
         """
         if manifest.version <= self.version:
             return False
@@ -80,11 +80,11 @@
         return True
 
     def confirm(self, version: int, at_ms: int) -> None:
-        """Note that a version was current at a time, if it is the one in force."""
+        """Record that a version was current at a time, if it is the active one."""
         with self._lock:
             if version == self.version:
                 self._confirmed_at_ms = max(self._confirmed_at_ms, at_ms)
 
     def manifest_json(self) -> bytes:
-        """Return the manifest in force as JSON."""
+        """Return the active manifest as JSON."""
         return msgspec.json.encode(self._in_force.manifest)
--- a/dalehollow/config/model.py
+++ b/dalehollow/config/model.py
@@ -1,4 +1,4 @@
-"""Hold a checked configuration as frozen data."""
+"""Define the data classes of a validated configuration."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Hall:
-    """Describe a hall: upstreams and entry VMs that share a network."""
+    """Describe a hall: upstreams and entry VMs on one network."""
 
     name: str
     region: str
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Account:
-    """Describe a client account; the key itself is never kept, only its SHA-256."""
+    """Describe a client account; only the SHA-256 of its key is stored."""
 
     name: str
     key_sha256: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Upstream:
-    """Describe one upstream; `control` is absent where no sidecar stands before it."""
+    """Describe an upstream; `control` is None if it has no sidecar."""
 
     name: str
     hall: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Operation:
-    """Mark one call of a plain service as repeatable or not."""
+    """Declare whether an operation of a plain service is safe to repeat."""
 
     method: str
     path: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Service:
-    """Describe a service and the rules under which its requests wait and repeat."""
+    """Describe a service and the queueing and retry rules of its requests."""
 
     name: str
     kind: str
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True)
 class Group:
-    """Describe a rank group; ranks are listed by the upstream that hosts each."""
+    """Describe a rank group; `ranks` names the upstream that hosts each rank."""
 
     name: str
     ranks: tuple[str, ...]
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class Config:
-    """Hold one whole configuration."""
+    """Hold a complete configuration."""
 
     deployment: str
     clock_bound_ms: int
@@ -90,7 +90,7 @@
     groups: Mapping[str, Group]
 
     def count_entries(self) -> int:
-        """Return how many entries share each account's limit."""
+        """Return the number of entries that share each account's limit, at least 1."""
         return max(1, sum(hall.entries for hall in self.halls.values()))
 
     def services_of(self, upstream: str) -> tuple[Service, ...]:
--- a/dalehollow/config/parts.py
+++ b/dalehollow/config/parts.py
@@ -1,8 +1,9 @@
-"""Split a checked configuration into parts, so that a small change moves little.
+"""Split a validated configuration into parts, so that a small change transfers little data.
 
-Accounts and upstreams are spread over buckets by name; a change of one account's limit changes one
-bucket. A part's id is its digest and the apply that first wrote it: no two applies share a key of
-the key-value service, so one may delete what it replaced without a look at the others.
+Accounts and upstreams are distributed over buckets by name, so a change to one account changes one
+bucket. A part id combines the digest of the part with the apply that first wrote it. Two applies
+therefore never share a key in the key-value service, and each may delete the parts it replaced
+without checking for other applies.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 def split_config(cfg: Config) -> dict[str, bytes]:
-    """Return the parts of a configuration by name, encoded."""
+    """Return the encoded parts of a configuration by name."""
     parts = {_REST: msgspec.json.encode(replace(cfg, accounts={}, upstreams={}))}
     for name, accounts in _fill_buckets(cfg.accounts, ACCOUNT_BUCKETS).items():
         parts[f"accounts-{name}"] = msgspec.json.encode(accounts)
@@ -33,7 +34,7 @@
 
 
 def join_config(parts: Mapping[str, bytes]) -> Config:
-    """Return the configuration that was split into these parts."""
+    """Reassemble a configuration from its parts."""
     accounts: dict[str, Account] = {}
     upstreams: dict[str, Upstream] = {}
     for name, data in parts.items():
@@ -46,20 +47,20 @@
 
 
 def make_part_id(data: bytes, apply_id: str) -> str:
-    """Return the id of a part that this apply is the first to write."""
+    """Return the id of a part first written by this apply."""
     apply_digest = hashlib.sha256(apply_id.encode()).hexdigest()[:_APPLY_ID_CHARS]
     return f"{_digest(data)}.{apply_digest}"
 
 
 def is_part(part_id: str, data: bytes) -> bool:
-    """Return whether the data is what the id names."""
+    """Return whether the data matches the digest in a part id."""
     return part_id.partition(".")[0] == _digest(data)
 
 
 def name_parts(
     parts: Mapping[str, bytes], before: Mapping[str, str], apply_id: str
 ) -> dict[str, str]:
-    """Give each part its id: the one it had before if it is unchanged, else a new one."""
+    """Return part ids by name: the previous id of an unchanged part, else a new one."""
     ids = {}
     for name, data in parts.items():
         old = before.get(name)
@@ -81,5 +82,5 @@
 
 
 def count_bytes(parts: Iterable[bytes]) -> int:
-    """Return the size of parts together."""
+    """Return the total size of parts."""
     return sum(map(len, parts))
--- a/dalehollow/config/spread.py
+++ b/dalehollow/config/spread.py
@@ -1,9 +1,9 @@
-"""Bring each accepted configuration to this process, with few calls to the platform.
+"""Distribute accepted configurations to all processes with few calls to the platform.
 
-No process is appointed to watch. Each one reads the head itself when the newest word it has
-on it is older than a limit of its own, drawn from its name between two settings. Word spreads on
-the beats that processes exchange anyway, so within a hall the process with the lowest limit
-reads, and the others rest as long as they hear of it.
+No process is designated as the reader. Each one polls the head when its latest confirmation of the
+active version is older than its own age limit, which is derived from its name and lies between two
+settings. Heartbeats between processes carry version and confirmation time, so within a hall the
+process with the lowest limit polls, and the others do not poll while they receive its heartbeats.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from dalehollow.telemetry.logs import log_event
 
 _POLL_BACKOFF_MAX_MS = 10_000
-_SHORTEST_LOOK_MS = 50
+_MIN_CHECK_INTERVAL_MS = 50
 _MS_PER_S = 1000
 _FETCH_TIMEOUT_MS = 2_000
 _READ_TIMEOUT_S = 1.0
@@ -35,25 +35,25 @@
 
 
 def wall_ms() -> int:
-    """Return the wall clock in Unix milliseconds."""
+    """Return the wall-clock time in Unix milliseconds."""
     return int(time.time() * 1000)
 
 
 def draw_poll_limit_ms(name: str, min_ms: int, max_ms: int) -> int:
-    """Draw how old word may grow before the process of this name reads the head itself."""
+    """Return the confirmation age at which the process of this name polls the head."""
     digest = hashlib.blake2b(name.encode(), digest_size=4).digest()
     share = int.from_bytes(digest, "big") / 2**32
     return round(min_ms + share * (max_ms - min_ms))
 
 
 def is_poll_due(age_ms: int, since_poll_ms: int, limit_ms: int, failures: int) -> bool:
-    """Return whether to read the head; after failures, less often."""
+    """Return whether to poll the head now, with exponential backoff after failures."""
     pause_ms = min(limit_ms * 2 ** min(failures, 8), max(limit_ms, _POLL_BACKOFF_MAX_MS))
     return age_ms >= limit_ms and since_poll_ms >= pause_ms
 
 
 class Spreader:
-    """Run the reading of the head and the fetching of parts for one process."""
+    """Poll the head and fetch configuration parts in a background thread."""
 
     def __init__(
         self,
@@ -62,42 +62,42 @@
         kv: KeyValue | None,
         clock_ms: Callable[[], int] = wall_ms,
     ) -> None:
-        """Prepare; without a key-value service, all word comes from peers."""
+        """Create a stopped instance; without a key-value service, updates come from peers only."""
         self._limit_ms = limit_ms
         self._holder = holder
         self._kv = kv
         self._clock_ms = clock_ms
-        self._heard: tuple[int, int, str] | None = None
+        self._peer_update: tuple[int, int, str] | None = None
         self._wake = threading.Event()
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="config", daemon=True)
-        # Parts of a configuration that is not whole yet: a poll that fails half-way, again and
-        # again on a slow way to the platform, goes on where the one before ended.
-        self._read: dict[str, bytes] = {}
+        # Parts of an incomplete configuration: on a slow connection polls may fail repeatedly
+        # part-way, and each continues where the previous one stopped.
+        self._partial_parts: dict[str, bytes] = {}
         self.polls = 0
         self.failures = 0
 
     def start(self) -> None:
-        """Begin to spread."""
+        """Start the background thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop spreading."""
+        """Signal the background thread to stop."""
         self._stopping.set()
         self._wake.set()
 
     def hear(self, version: int, confirmed_at_ms: int, address: str) -> None:
-        """Take a peer's word; a newer version is fetched from it in the background."""
-        # Word dated ahead of this clock would hide a stale configuration; cap it.
+        """Handle the version a peer reports; a newer one is fetched from it in the background."""
+        # A confirmation time in the future would hide a stale configuration.
         confirmed_at_ms = min(confirmed_at_ms, self._clock_ms())
         if version == self._holder.version:
             self._holder.confirm(version, confirmed_at_ms)
         elif version > self._holder.version and address:
-            self._heard = (version, confirmed_at_ms, address)
+            self._peer_update = (version, confirmed_at_ms, address)
             self._wake.set()
 
     def answer(self, request: FetchManifest | FetchParts) -> ManifestJson | Parts:
-        """Answer a peer that asks for what is in force here."""
+        """Return the active manifest or parts that a peer requests."""
         if isinstance(request, FetchManifest):
             return ManifestJson(self._holder.manifest_json())
         held = self._holder.in_force.parts
@@ -106,25 +106,25 @@
     def _run(self) -> None:
         polled_at_ms = 0
         while not self._stopping.is_set():
-            heard, self._heard = self._heard, None
-            if heard is not None:
-                self._fetch_from_peer(*heard)
+            update, self._peer_update = self._peer_update, None
+            if update is not None:
+                self._fetch_from_peer(*update)
             now_ms = self._clock_ms()
             age_ms = now_ms - self._holder.confirmed_at_ms
             since_ms = now_ms - polled_at_ms
             if self._kv and is_poll_due(age_ms, since_ms, self._limit_ms, self.failures):
                 polled_at_ms = now_ms
                 self.poll()
-            self._wake.wait(self._next_look_s(now_ms))
+            self._wake.wait(self._next_check_delay_s(now_ms))
             self._wake.clear()
 
-    def _next_look_s(self, now_ms: int) -> float:
-        """Return how long nothing can be due: confirmations only ever put it off."""
+    def _next_check_delay_s(self, now_ms: int) -> float:
+        """Return the time until a poll can be due; confirmations only postpone it."""
         age_ms = now_ms - self._holder.confirmed_at_ms
-        return max(_SHORTEST_LOOK_MS, self._limit_ms - age_ms) / _MS_PER_S
+        return max(_MIN_CHECK_INTERVAL_MS, self._limit_ms - age_ms) / _MS_PER_S
 
     def poll(self) -> bool:
-        """Read the head once, and what is new behind it; return whether it was read."""
+        """Read the head and any new parts it refers to; return whether the head was read."""
         if self._kv is None:
             return False
         self.polls += 1
@@ -139,46 +139,50 @@
             loaded = load_manifest(self._kv, head, timeout_s=_READ_TIMEOUT_S)
             if isinstance(loaded, Ok):
                 self._read_parts(loaded.ok_value)
-        # The version was current no earlier than the question was asked.
+        # The read may reflect any time since the request; only its start is safe to confirm.
         self._holder.confirm(head.version, asked_at_ms)
         return True
 
     def _read_parts(self, manifest: Manifest) -> None:
         assert self._kv is not None
         missing = self._holder.list_missing(manifest)
-        self._read = {part_id: self._read[part_id] for part_id in missing if part_id in self._read}
+        self._partial_parts = {
+            part_id: self._partial_parts[part_id]
+            for part_id in missing
+            if part_id in self._partial_parts
+        }
         for part_id in missing:
-            if part_id in self._read:
+            if part_id in self._partial_parts:
                 continue
             found = self._kv.get(part_key(part_id), timeout_s=_READ_TIMEOUT_S)
             if not isinstance(found, Ok) or not found.ok_value.revision:
-                # Deleted since: a newer manifest is in force and will be read next.
+                # If the part was deleted, a newer manifest is active and the next poll reads it.
                 return
-            self._read[part_id] = found.ok_value.value
-        self._take(manifest, self._read, "platform")
-        self._read = {}
+            self._partial_parts[part_id] = found.ok_value.value
+        self._offer_parts(manifest, self._partial_parts, "platform")
+        self._partial_parts = {}
 
     def _fetch_from_peer(self, version: int, confirmed_at_ms: int, address: str) -> None:
         if version <= self._holder.version:
             return
         link = PeerLink(address)
         try:
-            self._fetch_over(link, address)
+            self._fetch_parts(link, address)
         finally:
             link.close()
         self._holder.confirm(version, confirmed_at_ms)
 
-    def _fetch_over(self, link: PeerLink, address: str) -> None:
-        asked = link.ask(FetchManifest(), timeout_ms=_FETCH_TIMEOUT_MS)
-        if not (isinstance(asked, Ok) and isinstance(asked.ok_value, ManifestJson)):
+    def _fetch_parts(self, link: PeerLink, address: str) -> None:
+        response = link.ask(FetchManifest(), timeout_ms=_FETCH_TIMEOUT_MS)
+        if not (isinstance(response, Ok) and isinstance(response.ok_value, ManifestJson)):
             return
-        manifest = msgspec.json.decode(asked.ok_value.manifest_json, type=Manifest)
+        manifest = msgspec.json.decode(response.ok_value.manifest_json, type=Manifest)
         missing = self._holder.list_missing(manifest)
         fetched = link.ask(FetchParts(missing), timeout_ms=_FETCH_TIMEOUT_MS)
         if isinstance(fetched, Ok) and isinstance(fetched.ok_value, Parts):
-            self._take(manifest, fetched.ok_value.parts, address)
+            self._offer_parts(manifest, fetched.ok_value.parts, address)
 
-    def _take(self, manifest: Manifest, parts: Mapping[str, bytes], source: str) -> None:
+    def _offer_parts(self, manifest: Manifest, parts: Mapping[str, bytes], source: str) -> None:
         if self._holder.offer(manifest, parts):
             log_event(
                 _log,
--- a/dalehollow/config/store.py
+++ b/dalehollow/config/store.py
@@ -1,8 +1,8 @@
-"""Apply a whole configuration with one compare-and-swap of its head.
+"""Apply a configuration atomically with a compare-and-swap of its head.
 
-The parts are written first, then the manifest that names them, all under keys that nobody knows
-yet; the swap of the head, which names the manifest, is the one moment at which the whole file
-comes into force. The head is small because every process reads it again and again.
+The parts and the manifest that lists them are written first, under keys that nothing refers to yet.
+Swapping the head, which names the manifest, then activates the whole file at once. The head is
+small because every process polls it.
 """
 
 from __future__ import annotations
@@ -23,15 +23,13 @@
 from dalehollow.platform.keyvalue import Entry, KeyValue
 
 HEAD_KEY = "config/head"
-_SETTLE_ATTEMPTS = 5
-
-
+_WRITE_ATTEMPTS = 5
 HISTORY_LENGTH = 20
 
 
 @dataclass(frozen=True)
 class Head:
-    """Name the manifest in force, a part like the others."""
+    """Identify the active manifest, which is stored as a part."""
 
     version: int
     apply_id: str
@@ -44,7 +42,7 @@
 
 @dataclass(frozen=True)
 class PastVersion:
-    """Tell when and by which apply a version came into force."""
+    """Record when and by which apply a version was activated."""
 
     version: int
     apply_id: str
@@ -53,9 +51,9 @@
 
 @dataclass(frozen=True)
 class Manifest:
-    """Name one accepted configuration: its version, its parent and its parts' ids by name.
+    """Describe an accepted configuration: its version, its parent and its part ids by name.
 
-    `source` is the part that holds the operator's text as it was written.
+    `source` is the id of the part that holds the operator's original text.
     """
 
     version: int
@@ -73,14 +71,14 @@
 
 @dataclass(frozen=True)
 class Applied:
-    """Tell that the file is in force as this version."""
+    """Report that the file is active as this version."""
 
     manifest: Manifest
 
 
 @dataclass(frozen=True)
 class Conflict:
-    """Tell that another file came first; nothing of this one is in force."""
+    """Report that another file was applied first and nothing of this one is active."""
 
     winner: Head
 
@@ -89,39 +87,39 @@
 
 
 def part_key(part_id: str) -> str:
-    """Return the key under which a part is kept."""
+    """Return the storage key of a part."""
     return f"config/part/{part_id}"
 
 
 def decode_head(entry: Entry) -> Head:
-    """Return the head in an entry, or the empty one where none was written."""
+    """Return the head in an entry, or the empty head if none was written."""
     if entry.revision == 0:
         return EMPTY_HEAD
     return msgspec.json.decode(entry.value, type=Head)
 
 
 def read_head(kv: KeyValue, *, timeout_s: float = 2.0) -> Result[Head, PlatformError]:
-    """Read the head in force."""
+    """Read the current head."""
     return kv.get(HEAD_KEY, timeout_s=timeout_s).map(decode_head)
 
 
 def load_manifest(
     kv: KeyValue, head: Head, *, timeout_s: float = 2.0
 ) -> Result[Manifest, PlatformError]:
-    """Read the manifest that a head names; it is gone once a newer one is in force."""
+    """Read the manifest of a head; it is deleted once a newer one is active."""
     if not head.version:
         return Ok(EMPTY_MANIFEST)
     found = kv.get(part_key(head.manifest_id), timeout_s=timeout_s)
     if isinstance(found, Err):
         return Err(found.err_value)
     if not found.ok_value.revision or not is_part(head.manifest_id, found.ok_value.value):
-        message = f"the manifest of version {head.version} is gone; read the head again"
+        message = f"manifest of version {head.version} no longer exists; read the head again"
         return Err(PlatformError(message, may_have_written=False))
     return Ok(msgspec.json.decode(found.ok_value.value, type=Manifest))
 
 
 def read_manifest(kv: KeyValue) -> Result[Manifest, PlatformError]:
-    """Read the manifest in force."""
+    """Read the active manifest."""
     return read_head(kv).and_then(lambda head: load_manifest(kv, head))
 
 
@@ -133,9 +131,9 @@
     parent: int | None = None,
     now_ms: Callable[[], int] = lambda: int(time.time() * 1000),
 ) -> Result[Applied, ApplyError]:
-    """Apply a whole file or nothing; `parent` is the version the operator's edit began from.
+    """Apply a configuration file atomically; `parent` is the version that the edit is based on.
 
-    Errors: every mistake of the file, the winner of a race, or a platform failure.
+    Errors: all errors in the file, the winner of a concurrent apply, or a platform failure.
     """
     checked = check_text(text)
     if isinstance(checked, Err):
@@ -149,8 +147,8 @@
     loaded = load_manifest(kv, old_head)
     if isinstance(loaded, Err):
         return Err(loaded.err_value)
-    data = _make_parts(loaded.ok_value, checked.ok_value, text, apply_id, now_ms())
-    old_ids = _list_ids(old_head, loaded.ok_value)
+    data = _prepare_apply(loaded.ok_value, checked.ok_value, text, apply_id, now_ms())
+    old_ids = _list_part_ids(old_head, loaded.ok_value)
     written = {i: d for i, d in data.parts.items() if i not in old_ids}
     stored = _store_parts(kv, written)
     if isinstance(stored, Err):
@@ -160,20 +158,22 @@
         _delete_parts(kv, old_ids - set(data.parts))
     elif isinstance(applied.err_value, Conflict):
         _delete_parts(kv, set(written))
-    # Else it is open which of the two is in force: leave both.
+    # Otherwise it is unknown which one is active, so the parts of both are kept.
     return applied
 
 
 @dataclass(frozen=True)
-class _Prepared:
-    """Hold all that one apply puts in force, its parts by id."""
+class _PendingApply:
+    """Hold what one apply activates, with its parts by id."""
 
     head: Head
     manifest: Manifest
     parts: Mapping[str, bytes]
 
 
-def _make_parts(current: Manifest, cfg: Config, text: str, apply_id: str, now_ms: int) -> _Prepared:
+def _prepare_apply(
+    current: Manifest, cfg: Config, text: str, apply_id: str, now_ms: int
+) -> _PendingApply:
     parts = split_config(cfg)
     manifest = _make_manifest(current, cfg, parts, text, apply_id, now_ms)
     manifest_json = msgspec.json.encode(manifest)
@@ -181,21 +181,21 @@
     data = {manifest.parts[name]: part for name, part in parts.items()}
     data[manifest.source] = text.encode()
     data[manifest_id] = manifest_json
-    return _Prepared(Head(manifest.version, apply_id, now_ms, manifest_id), manifest, data)
+    return _PendingApply(Head(manifest.version, apply_id, now_ms, manifest_id), manifest, data)
 
 
-def _list_ids(head: Head, manifest: Manifest) -> set[str]:
+def _list_part_ids(head: Head, manifest: Manifest) -> set[str]:
     return {head.manifest_id, manifest.source, *manifest.parts.values()} - {""}
 
 
 def _delete_parts(kv: KeyValue, part_ids: set[str]) -> None:
-    """Delete parts that no head names any more; what fails only takes up room."""
+    """Delete unreferenced parts; a failed delete only wastes storage."""
     for part_id in part_ids:
         kv.delete(part_key(part_id))
 
 
 def member_name(cfg: Config, upstream: str) -> str:
-    """Return the identity of an upstream as an owner: its name at its address."""
+    """Return the owner identity of an upstream: name@address."""
     return f"{upstream}@{cfg.upstreams[upstream].http}"
 
 
@@ -224,7 +224,7 @@
 
 
 def list_history(manifest: Manifest) -> list[PastVersion]:
-    """Return the version in force and those before it, the newest first."""
+    """Return the active and previous versions, newest first."""
     if not manifest.version:
         return []
     newest = PastVersion(manifest.version, manifest.apply_id, manifest.applied_at_ms)
@@ -253,9 +253,9 @@
 
 
 def _store_part(kv: KeyValue, part_id: str, data: bytes) -> Result[None, PlatformError]:
-    """Write a part; one that is there already is the same, written by a try of ours."""
-    failure = PlatformError("not tried", may_have_written=False)
-    for _ in range(_SETTLE_ATTEMPTS):
+    """Write a part; an existing one is identical, from an earlier attempt of this apply."""
+    failure = PlatformError("write not attempted", may_have_written=False)
+    for _ in range(_WRITE_ATTEMPTS):
         written = kv.swap(part_key(part_id), data, expected_revision=0)
         if isinstance(written, Ok):
             return Ok(None)
@@ -265,15 +265,15 @@
     return Err(failure)
 
 
-def _swap_head(kv: KeyValue, data: _Prepared, revision: int) -> Result[Applied, ApplyError]:
-    """Swap until the outcome is known: ours, another's, or beyond what was tried.
+def _swap_head(kv: KeyValue, data: _PendingApply, revision: int) -> Result[Applied, ApplyError]:
+    """Retry the swap until its outcome is known or the attempts are used up.
 
-    Swapping again against the same revision settles a lost answer: only one of our tries can
-    ever win, and once any swap has won, all others against that revision lose.
+    Retrying against the same revision is safe after a lost response: once any swap against a
+    revision succeeds, all others against it fail, so at most one attempt can succeed.
     """
     head = data.head
     value = msgspec.json.encode(head)
-    for _ in range(_SETTLE_ATTEMPTS):
+    for _ in range(_WRITE_ATTEMPTS):
         swapped = kv.swap(HEAD_KEY, value, expected_revision=revision)
         if isinstance(swapped, Ok) and swapped.ok_value.won:
             return Ok(Applied(data.manifest))
@@ -284,5 +284,5 @@
             return Err(Conflict(found.ok_value))
         if isinstance(swapped, Err) and not swapped.err_value.may_have_written:
             return Err(swapped.err_value)
-    message = f"outcome of apply {head.apply_id} is unknown; read the head again"
+    message = f"outcome of apply {head.apply_id} is unknown; read the head again to check"
     return Err(PlatformError(message, may_have_written=True))
--- a/tests/test_config_check.py
+++ b/tests/test_config_check.py
@@ -1,4 +1,4 @@
-"""Test that an operators' file is checked whole, with every mistake where it stands."""
+"""Test that validation reports every error in a configuration file with its location."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     ("services.gate.kind", "odd", "must be one of model, plain"),
     ("services.gate.path_prefix", "gate", "must begin with '/'"),
     ("services.assistant.upstreams", ["m-1", "m-9"], "is 'm-9', must be one of g-1, m-1, m-2"),
-    ("services.assistant.upstreams", ["m-1", "m-1"], "names something twice"),
+    ("services.assistant.upstreams", ["m-1", "m-1"], "contains duplicate names"),
     ("services.assistant.upstreams", "m-1", "must be a list of names"),
     ("services.gate.operations", [{"method": "POST", "path": "/a"}], "repeatable: is missing"),
     ("services.gate.queue_limit", -1, "must be a number from 0"),
