--- a/dalehollow/membership/__init__.py
+++ b/dalehollow/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Know which upstreams there are, how loaded they are and which are leaving or gone."""
+"""Track upstreams: their load and whether they are leaving or unavailable."""
 
 from __future__ import annotations
 
--- a/dalehollow/membership/peers.py
+++ b/dalehollow/membership/peers.py
@@ -1,4 +1,4 @@
-"""Run one task for each peer: ask it at intervals how it is, and take its word."""
+"""Send heartbeats to each peer from a thread of its own."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from dalehollow.protocol.link import PeerLink
 
 EXCHANGE_BYTES = 275
-"""Of one beat and its reply with all headers: measured by `python -m benchmarks slopes`."""
+"""Size of a heartbeat and its reply with all headers, per `python -m benchmarks slopes`."""
 _MS_PER_S = 1000
 
 
 def pace_beats_ms(peers: int, wanted_ms: int, bytes_per_s: int) -> int:
-    """Return the interval at which beats to so many peers stay within a budget of bytes."""
+    """Return the heartbeat interval that keeps all peers within a bandwidth budget."""
     return max(wanted_ms, round(peers * EXCHANGE_BYTES / bytes_per_s * _MS_PER_S))
 
 
@@ -29,7 +29,7 @@
 
 
 class PeerTasks:
-    """Keep a task for each wanted peer, named by its upstream or address."""
+    """Run one heartbeat thread per peer, keyed by upstream name or address."""
 
     def __init__(
         self,
@@ -38,9 +38,9 @@
         interval_ms: int,
         bytes_per_s: int,
     ) -> None:
-        """Begin without peers; `on_reply` gets the peer's name and what came of a beat.
+        """Start without peers; `on_reply` receives the peer's name and the reply or error.
 
-        Beats go out every `interval_ms`, or less often where they would pass `bytes_per_s`.
+        Heartbeats are sent every `interval_ms`, or less often if they would exceed `bytes_per_s`.
         """
         self._make_beat = make_beat
         self._on_reply = on_reply
@@ -51,7 +51,7 @@
         self._lock = threading.Lock()
 
     def keep(self, wanted: Mapping[str, str]) -> None:
-        """Start and stop tasks so that there is one for each wanted name and address."""
+        """Start and stop tasks to match the wanted peers, addresses by name."""
         with self._lock:
             for name, task in list(self._tasks.items()):
                 if wanted.get(name) != task.address:
@@ -63,7 +63,7 @@
                     self._tasks[name] = self._start(name, address)
 
     def stop(self) -> None:
-        """Stop all tasks."""
+        """Signal all tasks to stop."""
         self.keep({})
 
     def _start(self, name: str, address: str) -> _Task:
--- a/dalehollow/membership/subset.py
+++ b/dalehollow/membership/subset.py
@@ -1,4 +1,4 @@
-"""Choose the few upstreams that an entry speaks with, so that control stays within bounds."""
+"""Select the subset of upstreams an entry connects to, which bounds its control traffic."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def choose_subset(
     entry: str, hall: str, upstreams: Sequence[Upstream], size: int
 ) -> tuple[Upstream, ...]:
-    """Choose by rendezvous: the own hall first, and some of other halls for when it fails."""
+    """Select by rendezvous hashing from the entry's hall, plus some of other halls as fallback."""
     ranked = sorted(upstreams, key=lambda u: score(entry, u.name), reverse=True)
     near = [u for u in ranked if u.hall == hall]
     far = [u for u in ranked if u.hall != hall]
--- a/dalehollow/membership/view.py
+++ b/dalehollow/membership/view.py
@@ -1,4 +1,4 @@
-"""Keep what one entry knows of one upstream."""
+"""Track the state of an upstream as seen by one entry."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass
 class UpstreamView:
-    """Hold the last report, the requests sent since, and whether the upstream can be used."""
+    """Hold the last load report, the requests sent since, and the availability of an upstream."""
 
     upstream: Upstream
     is_near: bool
@@ -31,12 +31,12 @@
     _failures: int = 0
     _ejections: int = 0
     _ejected_until_s: float = 0.0
-    # By priority: until when it wants no request as urgent as that or less.
+    # By priority: time until which the upstream accepts no request of that priority.
     _rests_until_s: dict[str, float] = field(default_factory=dict)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def take_report(self, report: LoadReport, now_s: float) -> None:
-        """Replace the load; the upstream counts what was sent before it answered."""
+        """Replace the load report, which includes all requests sent before the upstream replied."""
         with self._lock:
             self.is_silent = False
             self.report = report
@@ -44,11 +44,11 @@
             self._sent_since = 0
 
     def note_silence(self) -> None:
-        """Note that a beat was not answered in time; the next answer of any kind ends it."""
+        """Mark the upstream silent after a heartbeat timeout, until its next load report."""
         self.is_silent = True
 
     def mark_leaving(self, is_leaving: bool, incarnation_ms: int) -> None:
-        """Note the sidecar's own word; a new incarnation is not leaving any more."""
+        """Record the sidecar's leaving flag; a new incarnation also clears failures and rests."""
         with self._lock:
             self.is_leaving = is_leaving
             if incarnation_ms != self.incarnation_ms:
@@ -57,35 +57,35 @@
                 self._clear_failures()
 
     def note_rest(self, priority: str, until_s: float) -> None:
-        """Note that it wants no request as urgent as this or less for a while."""
+        """Record that requests of this or a lower priority are refused until a time."""
         with self._lock:
             for lower in PRIORITIES[PRIORITIES.index(priority) :]:
                 self._rests_until_s[lower] = max(until_s, self._rests_until_s.get(lower, 0.0))
 
     def rest_left_s(self, priority: str, now_s: float) -> float:
-        """Return for how long it still wants no such request, 0 if it takes them."""
+        """Return how long requests of a priority are still refused, 0 if they are accepted."""
         with self._lock:
             return max(0.0, self._rests_until_s.get(priority, 0.0) - now_s)
 
     def note_sent(self) -> None:
-        """Count a request that is on its way."""
+        """Count a request that was sent."""
         with self._lock:
             self.in_flight += 1
             self._sent_since += 1
 
     def note_done(self) -> None:
-        """Count a request that is over."""
+        """Count a request that has finished."""
         with self._lock:
             self.in_flight -= 1
             self._sent_since = max(0, self._sent_since - 1)
 
     def note_success(self) -> None:
-        """Forget earlier failures."""
+        """Reset the failure count and any ejection."""
         with self._lock:
             self._clear_failures()
 
     def note_failure(self, now_s: float, *, is_unreachable: bool) -> None:
-        """Count a failure; too many in a row, or no connection at all, eject for a while."""
+        """Count a failure; a failed connection or repeated failures eject the upstream."""
         with self._lock:
             self._failures += 1
             if is_unreachable or self._failures >= EJECT_AFTER_FAILURES:
@@ -95,11 +95,11 @@
                 self._failures = 0
 
     def is_ejected(self, now_s: float) -> bool:
-        """Return whether the upstream is out for its failures."""
+        """Return whether the upstream is ejected because of failures."""
         return now_s < self._ejected_until_s
 
     def as_candidate(self) -> Candidate:
-        """Return what a choice needs to know."""
+        """Return the upstream as a candidate for request routing."""
         with self._lock:
             return Candidate(self.upstream.name, self.report, self._sent_since, self.distance_ms)
 
@@ -112,11 +112,11 @@
 def select_usable(
     views: list[UpstreamView], now_s: float, priority: str = PRIORITIES[0]
 ) -> list[UpstreamView]:
-    """Return the views that may get work; where most are out, that is not believed.
+    """Return the views that may receive requests.
 
-    Leaving upstreams never get work, whoever says so, nor do those that asked for rest; silent and
-    ejected ones do when half of the pool or more is out, since then the fault is more likely this
-    side or all of it.
+    Upstreams that are leaving, by the sidecar or by the VM list, or refusing this priority are
+    always excluded. Silent and ejected ones are excluded only if they are less than half of the
+    rest; otherwise the fault is more likely on this side or common to all of them.
     """
     staying = [
         view
--- a/dalehollow/membership/vm_watch.py
+++ b/dalehollow/membership/vm_watch.py
@@ -1,7 +1,7 @@
-"""Follow the VM list: which upstreams are leaving, and which other entries there are.
+"""Poll the VM list for leaving upstreams and other entries.
 
-A VM that the list does not name is left alone, since the list lags: new VMs are missing from it,
-and what is really gone stops answering. In an outage the last list stays in force.
+VMs that are missing from the list are not treated as gone: the list lags and does not yet contain
+new VMs, and a VM that is really gone stops responding. During an outage the last list is used.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def list_entries(vms: tuple[Vm, ...], hall: str | None) -> dict[str, str]:
-    """Return the control addresses of the entries that stay, of one hall or of all."""
+    """Return the control addresses of entries that are not leaving, in one hall or in all."""
     return {
         vm.name: vm.entry_control
         for vm in vms
@@ -32,7 +32,7 @@
 
 
 class VmWatch:
-    """Run one task that reads the list at intervals."""
+    """Poll the VM list in a background thread."""
 
     def __init__(
         self,
@@ -40,19 +40,19 @@
         on_list: Callable[[tuple[Vm, ...]], None],
         interval_ms: int,
     ) -> None:
-        """Prepare; without a platform nothing is read."""
+        """Create a stopped instance; without a platform address it never polls."""
         self._list = HttpVmList(platform) if platform else None
         self._on_list = on_list
         self._interval_s = interval_ms / _MS_PER_S
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start polling."""
         if self._list is not None:
             threading.Thread(target=self._run, name="vms", daemon=True).start()
 
     def stop(self) -> None:
-        """Stop reading."""
+        """Signal the polling thread to stop."""
         self._stopping.set()
 
     def _run(self) -> None:
--- a/dalehollow/protocol/__init__.py
+++ b/dalehollow/protocol/__init__.py
@@ -1,6 +1,6 @@
-"""Hold the inner protocol: the messages between the system's processes.
+"""Messages of the internal protocol between Dalehollow processes.
 
-Links stand in `dalehollow.protocol.link`, which gateways run without.
+The transport is in `dalehollow.protocol.link`, which gateways do not import.
 """
 
 from __future__ import annotations
--- a/dalehollow/protocol/headers.py
+++ b/dalehollow/protocol/headers.py
@@ -1,4 +1,4 @@
-"""Name the HTTP headers of the system, in lower case."""
+"""Define the names of HTTP headers used by Dalehollow, in lower case."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 PREFIX = "dalehollow-"
 
-# Between caller and entry.
+# Exchanged between caller and entry.
 PRIORITY = "dalehollow-priority"
 DEADLINE_MS = "dalehollow-deadline-ms"
 VERDICT = "dalehollow-verdict"
@@ -20,7 +20,7 @@
 RETRY_AFTER = "retry-after"
 RETRY_AFTER_MS = "dalehollow-retry-after-ms"
 
-# Between entry and sidecar only: stripped from what callers and upstreams send.
+# Exchanged between entry and sidecar only; removed from messages of callers and upstreams.
 SERVICE = "dalehollow-service"
 ACCOUNT = "dalehollow-account"
 REPEATABLE = "dalehollow-repeatable"
@@ -29,8 +29,8 @@
 REST_MS = "dalehollow-rest-ms"
 LOAD = "dalehollow-load"
 
-# Meant for one connection, or for this system alone: never passed on.
-_NOT_PASSED_ON = frozenset(
+# Hop-by-hop headers and headers for Dalehollow only; not forwarded.
+_NOT_FORWARDED = frozenset(
     {
         "authorization",
         "connection",
@@ -47,15 +47,15 @@
     }
 )
 
-# Towards upstreams.
+# Sent to upstreams.
 ENGINE_PRIORITY = "x-request-priority"
 
 
 def strip_own(headers: Mapping[str, str]) -> dict[str, str]:
-    """Return the headers without any of the system's own, which nobody outside may set."""
+    """Remove Dalehollow's own headers, which external parties must not set."""
     return {k: v for k, v in headers.items() if not k.startswith(PREFIX)}
 
 
 def keep_end_to_end(headers: Mapping[str, str]) -> dict[str, str]:
-    """Return the headers of a request that go on to the next process."""
-    return {k: v for k, v in strip_own(headers).items() if k not in _NOT_PASSED_ON}
+    """Return the request headers that are forwarded to the next process."""
+    return {k: v for k, v in strip_own(headers).items() if k not in _NOT_FORWARDED}
--- a/dalehollow/protocol/link.py
+++ b/dalehollow/protocol/link.py
@@ -1,4 +1,4 @@
-"""Carry messages over pynng request and reply sockets, one link for each peer."""
+"""Exchange messages over pynng request and reply sockets, one link per peer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     encode,
 )
 
-_NO_RESEND_MS = 2**31 - 1  # every retry is the system's own decision
+_NO_RESEND_MS = 2**31 - 1  # no automatic resends; callers decide about retries
 _MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 _RECONNECT_MIN_MS = 100
 _RECONNECT_MAX_MS = 1000
@@ -27,10 +27,10 @@
 
 
 class PeerLink:
-    """Ask one peer and wait for its reply; not for use by several threads at once."""
+    """Send requests to one peer and wait for replies; not thread-safe."""
 
     def __init__(self, address: str) -> None:
-        """Dial in the background; `address` is host:port."""
+        """Connect in the background; `address` is host:port."""
         self.address = address
         self._socket = pynng.Req0(resend_time=_NO_RESEND_MS)
         self._socket.reconnect_time_min = _RECONNECT_MIN_MS
@@ -39,7 +39,7 @@
         self._socket.dial(f"tcp://{address}", block=False)
 
     def ask(self, request: Request, *, timeout_ms: int) -> Result[Reply, str]:
-        """Send a request and wait for its reply; a reply that comes too late is dropped."""
+        """Send a request and wait for its reply; a reply after the timeout is discarded."""
         self._socket.send_timeout = timeout_ms
         self._socket.recv_timeout = timeout_ms
         try:
@@ -54,10 +54,10 @@
 
 
 class ControlServer:
-    """Answer peers' requests, one after the other; handlers must not wait."""
+    """Serve peer requests sequentially; handlers must not block."""
 
     def __init__(self, host: str, port: int, handler: ControlHandler) -> None:
-        """Listen at once; port 0 picks a free port."""
+        """Bind and listen; port 0 selects a free port."""
         self._handler = handler
         self._socket = pynng.Rep0(recv_timeout=_POLL_MS)
         self._socket.recv_max_size = _MAX_MESSAGE_BYTES
@@ -67,11 +67,11 @@
         self._thread = threading.Thread(target=self._serve, name="control", daemon=True)
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start serving."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop answering."""
+        """Stop serving and close the socket."""
         self._stopping.set()
         self._socket.close()
 
@@ -93,4 +93,4 @@
         try:
             return self._handler(decode_request(data))
         except ValueError as exc:
-            return Refused(f"unreadable message: {exc}")
+            return Refused(f"cannot decode message: {exc}")
--- a/dalehollow/protocol/messages.py
+++ b/dalehollow/protocol/messages.py
@@ -1,4 +1,4 @@
-"""Define the messages of the inner protocol, encoded as MessagePack arrays."""
+"""Define the messages of the internal protocol, encoded as MessagePack arrays."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Beat(msgspec.Struct, frozen=True, array_like=True, tag="b"):
-    """Tell a peer who is there and which configuration it knows to be current, and when."""
+    """Announce the sender and the configuration version it last confirmed as current, and when."""
 
     sender: str
     address: str
@@ -17,7 +17,7 @@
 
 
 class BeatReply(msgspec.Struct, frozen=True, array_like=True, tag="B"):
-    """Answer a beat with the load of the upstream behind this sidecar."""
+    """Reply to a heartbeat with the load of the sidecar's upstream."""
 
     sender: str
     incarnation_ms: int
@@ -31,41 +31,41 @@
 
 
 class FetchManifest(msgspec.Struct, frozen=True, array_like=True, tag="f"):
-    """Ask a peer for the manifest that it has in force."""
+    """Request a peer's active manifest."""
 
 
 class ManifestJson(msgspec.Struct, frozen=True, array_like=True, tag="F"):
-    """Carry a manifest as JSON."""
+    """Return a manifest as JSON."""
 
     manifest_json: bytes
 
 
 class FetchParts(msgspec.Struct, frozen=True, array_like=True, tag="g"):
-    """Ask a peer for parts of a configuration by their ids."""
+    """Request configuration parts by id."""
 
     part_ids: tuple[str, ...]
 
 
 class Parts(msgspec.Struct, frozen=True, array_like=True, tag="G"):
-    """Carry those of the parts asked for that the peer holds."""
+    """Return the requested parts that the peer holds."""
 
     parts: dict[str, bytes]
 
 
 class Dump(msgspec.Struct, frozen=True, array_like=True, tag="d"):
-    """Ask a process for its state."""
+    """Request a dump of a process's state."""
 
     section: str = ""
 
 
 class DumpText(msgspec.Struct, frozen=True, array_like=True, tag="D"):
-    """Carry a process's state as JSON."""
+    """Return a process's state as JSON."""
 
     state_json: bytes
 
 
 class VoteQuery(msgspec.Struct, frozen=True, array_like=True, tag="v"):
-    """Put a proposed expert map to a rank's gate, and ask for its vote on it."""
+    """Propose an expert map to a rank's gate and request its vote."""
 
     group: str
     rank: int
@@ -77,17 +77,17 @@
 
 
 class VoteReply(msgspec.Struct, frozen=True, array_like=True, tag="V"):
-    """Carry one rank's vote, which never changes once it is yes or no."""
+    """Return a rank's vote, which is final once it is yes or no."""
 
     rank: int
     vote: Literal["yes", "no", "pending"]
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """Order a rank to load the weights of a new map, given as changes to the one in force.
+    """Order a rank to load the weights of a new map, given as changes to the current map.
 
-    A change is (layer, rank, expert that leaves, expert that comes); ranks need all of them,
-    since each must know where tokens go.
+    A change is (layer, rank, removed expert, added expert). Every rank receives all changes, since
+    it must know where to send tokens.
     """
 
     group: str
@@ -99,23 +99,23 @@
 
 
 class PrepareReply(msgspec.Struct, frozen=True, array_like=True, tag="P"):
-    """Tell how far a rank is with loading."""
+    """Report a rank's loading progress."""
 
     rank: int
     state: Literal["loading", "loaded", "refused"]
 
 
 class RankQuery(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """Ask a rank's gate for its engine's step, map and counts."""
+    """Request the step, map and counts of a rank's engine."""
 
     group: str
     rank: int
 
 
 class RankReply(msgspec.Struct, frozen=True, array_like=True, tag="R"):
-    """Carry a rank's step, map and tokens for each of its experts since the group began.
+    """Return a rank's step, map and token counts per expert since the group started.
 
-    `counts` holds (layer, expert, tokens); `step_ms` is the rank's own part of recent steps.
+    `counts` holds (layer, expert, tokens); `step_ms` is the rank's own share of recent steps.
     """
 
     rank: int
@@ -128,20 +128,20 @@
 
 
 class AskShares(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """Tell an allocator, for each account, what the sender holds and what it could use a second."""
+    """Report the held and usable requests per second of each account to an allocator."""
 
     sender: str
     accounts: tuple[tuple[str, float, float], ...]
 
 
 class Shares(msgspec.Struct, frozen=True, array_like=True, tag="S"):
-    """Carry what the sender may hold of each account's limit from now on."""
+    """Return the share of each account's limit, in requests/s, granted to the recipient."""
 
     accounts: tuple[tuple[str, float], ...]
 
 
 class Refused(msgspec.Struct, frozen=True, array_like=True, tag="x"):
-    """Tell that a message could not be answered, and why."""
+    """Report why a message was not processed."""
 
     message: str
 
--- a/dalehollow/protocol/reports.py
+++ b/dalehollow/protocol/reports.py
@@ -1,4 +1,4 @@
-"""Define what gateways tell each other in datagrams, encoded as MessagePack arrays."""
+"""Define the datagrams exchanged between gateways, encoded as MessagePack arrays."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """Hold an item of the store as it was written, or None as value where it was deleted."""
+    """Hold a written store item; `value` is None if the item was deleted."""
 
     key: str
     value: bytes | None
@@ -16,18 +16,19 @@
 
 
 class RelayState(msgspec.Struct, frozen=True, array_like=True):
-    """Tell up to which revision of the store a relay knows everything, and how long ago it did."""
+    """Report the store revision up to which a relay is complete, and the age of that state."""
 
     revision: int
     age_s: float
 
 
 class StoreView(msgspec.Struct, frozen=True, array_like=True):
-    """Tell what the sender knows of the store, and when the store was there.
+    """Report the sender's store data and the store's recent availability.
 
-    Nothing up to `revision` is missing, 0 where nothing is known. The store answered some gateway
-    that the sender hears `answer_age_s` ago, and for `unbroken_s` without an absence in which
-    entries could lapse. The era of the revision was heard of `era_heard_s` ago.
+    The sender has all changes up to `revision`, 0 without data. The store last answered a gateway
+    known to the sender `answer_age_s` ago, and has been available for `unbroken_s` without an
+    outage long enough for entries to expire. The era of the revision was first seen `era_heard_s`
+    ago.
     """
 
     revision: int
@@ -37,14 +38,14 @@
 
 
 class Limit(msgspec.Struct, frozen=True, array_like=True):
-    """Tell how many requests a second an upstream takes, None without a limit, and since when."""
+    """Report an upstream's limit in requests per second, None for no limit, and its age."""
 
     rate_per_s: float | None
     age_s: float
 
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True):
-    """Tell how long ago a request crashed which upstreams, was answered, and was probed with."""
+    """Report how long ago a request crashed upstreams, was answered, and was used as a probe."""
 
     crashes: dict[str, float]
     cleared_age_s: float | None = None
@@ -52,43 +53,43 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """Tell the gateways of the own hall what the sender has in hand.
+    """Report the sender's requests in progress to the gateways of its hall.
 
-    Ages say how long ago a group last served and last refused as broken. `relay` is set by the
-    gateway that follows the store for its hall.
+    The ages give the time since a group last served and last refused as broken. `relay` is set by
+    the gateway that follows the store for its hall.
     """
 
     sender: str
     in_hand: dict[str, int]
     served_age_s: dict[str, float]
     refused_age_s: dict[str, float]
-    # Requests at an upstream that no gateway knows of, and how long ago that was found.
+    # Requests at an upstream that no gateway accounts for, and the age of that observation.
     unknown: dict[str, tuple[int, float]]
     relay: RelayState | None = None
     view: StoreView | None = None
     limits: dict[str, Limit] = {}
-    # Of requests that may crash upstreams, by fingerprint.
+    # Requests suspected of crashing upstreams, by fingerprint.
     suspects: dict[bytes, Suspicion] = {}
 
 
 class HallReport(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """Tell another hall what all gateways of the sender's have in hand together."""
+    """Report the total requests in progress of the sender's hall to another hall."""
 
     hall: str
     in_hand: dict[str, int]
     served_age_s: dict[str, float]
     refused_age_s: dict[str, float]
-    # Set by whoever passes it on within a hall: it goes no further.
+    # Set when the report is forwarded within a hall; it is not forwarded again.
     is_passed_on: bool = False
-    # The gateway that speaks for its hall.
+    # The gateway that reports for its hall.
     sender: str = ""
     view: StoreView | None = None
 
 
 class HallSignals(msgspec.Struct, frozen=True, array_like=True, tag="i"):
-    """Tell another hall the limits of upstreams and the requests that may crash them.
+    """Report upstream limits and suspected requests to another hall.
 
-    Apart from the sums of loads, which go the more seldom the larger they are.
+    Sent separately from `HallReport`, which is sent less often the larger it is.
     """
 
     hall: str
@@ -98,10 +99,10 @@
 
 
 class StoreChanges(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """Carry all changes of the store after one revision and up to another.
+    """Carry all store changes after one revision up to and including another.
 
-    After revision 0 it carries all items that there are: a key that is not among them is gone.
-    `packed` holds them compressed: configurations and plans shrink to a fifth or less.
+    With `after` 0 it carries all existing items, and any other key is deleted. `packed` holds
+    compressed changes: configurations and plans compress to a fifth of their size or less.
     """
 
     after: int
@@ -110,14 +111,14 @@
 
 
 class TokenAsk(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """Ask the allocator of limited upstreams for so many tokens of each."""
+    """Request tokens for rate-limited upstreams from their allocator."""
 
     sender: str
     wanted: dict[str, int]
 
 
 class TokenGrant(msgspec.Struct, frozen=True, array_like=True, tag="g"):
-    """Give tokens of limited upstreams; 0 says that the ask was heard."""
+    """Grant tokens for rate-limited upstreams; 0 only acknowledges the request."""
 
     tokens: dict[str, int]
 
@@ -126,20 +127,20 @@
 
 _CHANGES = msgspec.msgpack.Decoder(tuple[Change, ...])
 MAX_UNPACKED_BYTES = 1 << 23
-"""Eight values of the largest size that the store takes: all items of 1,000 servers, 360 gateways
-and a configuration are a third of it. A message that unpacks to more is not one of ours."""
+"""Eight times the largest value that the store accepts; all items of 1,000 servers, 360 gateways
+and a configuration need a third of it. No gateway sends a message that unpacks to more."""
 
 
 def pack_changes(changes: tuple[Change, ...]) -> bytes:
-    """Return changes as a message carries them."""
+    """Encode and compress changes for a message."""
     return zlib.compress(msgspec.msgpack.encode(changes))
 
 
 def unpack_changes(packed: bytes) -> tuple[Change, ...]:
-    """Return the changes that a message carries; raise ValueError if it carries none."""
+    """Return the changes in a message; raise ValueError if they cannot be decoded."""
     unpacker = zlib.decompressobj()
     try:
         data = unpacker.decompress(packed, MAX_UNPACKED_BYTES)
     except zlib.error as exc:
-        raise ValueError(f"changes cannot be unpacked: {exc}") from exc
+        raise ValueError(f"cannot decompress changes: {exc}") from exc
     return _CHANGES.decode(data)
