--- a/dalehollow/groups/__init__.py
+++ b/dalehollow/groups/__init__.py
@@ -1,4 +1,4 @@
-"""Balance the experts of a rank group and switch its map, the same on every rank in each step."""
+"""Balance the experts of a rank group and switch all its ranks to a new map at the same step."""
 
 from __future__ import annotations
 
--- a/dalehollow/groups/layer.py
+++ b/dalehollow/groups/layer.py
@@ -1,4 +1,4 @@
-"""Improvement one layer of an expert map move by move, and find the change that is worth most."""
+"""Improve one layer of an expert map move by move with a greedy search."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from dalehollow.groups.expert_map import LayerMap, rank_loads
 
-_SHORT_RANKS_TRIED = 4
-_SPARES_TRIED = 2
+_MAX_TARGET_RANKS = 4
+_MAX_REPLACED_REPLICAS = 2
 
 
 @dataclass(frozen=True)
 class Move:
-    """Put an expert into a rank's slot in place of another; two of them make an exchange."""
+    """Replace the expert in a rank's slot by another; a swap between two ranks takes two moves."""
 
     rank: int
-    out: int
-    into: int
+    removed: int
+    added: int
 
 
 @dataclass
 class LayerState:
-    """Hold one layer while it is changed, with each expert's ranks and each rank's load."""
+    """Hold one layer during the search, indexed by rank and by expert, with each rank's load."""
 
     ranks: list[set[int]]
     holders: list[set[int]]
@@ -31,8 +31,8 @@
     speeds: Sequence[float]
 
     @staticmethod
-    def of(layer: LayerMap, demand: Sequence[float], speeds: Sequence[float]) -> LayerState:
-        """Begin with a layer under a demand; `speeds` has one for each rank."""
+    def from_layer(layer: LayerMap, demand: Sequence[float], speeds: Sequence[float]) -> LayerState:
+        """Build the search state of a layer; `speeds` holds one relative speed per rank."""
         holders: list[set[int]] = [set() for _ in demand]
         for rank, experts in enumerate(layer):
             for expert in experts:
@@ -40,18 +40,18 @@
         loads = rank_loads(layer, demand, speeds)
         return LayerState([set(e) for e in layer], holders, loads, demand, speeds)
 
-    def share(self, expert: int) -> float:
-        """Return the tokens that each replica of an expert gets."""
+    def replica_tokens(self, expert: int) -> float:
+        """Return the tokens that each replica of an expert receives."""
         return self.demand[expert] / len(self.holders[expert])
 
     def changed_loads(self, moves: Sequence[Move]) -> dict[int, float]:
-        """Return the loads of the ranks that the moves would change."""
+        """Return the loads that the affected ranks would have after the moves."""
         holders: dict[int, set[int]] = {}
         for move in moves:
-            for expert in (move.out, move.into):
+            for expert in (move.removed, move.added):
                 holders.setdefault(expert, set(self.holders[expert]))
-            holders[move.out].discard(move.rank)
-            holders[move.into].add(move.rank)
+            holders[move.removed].discard(move.rank)
+            holders[move.added].add(move.rank)
         changed: dict[int, float] = {}
         for expert, after in holders.items():
             before = self.holders[expert]
@@ -62,70 +62,75 @@
                 changed[rank] = changed.get(rank, self.loads[rank]) + new / self.speeds[rank]
         return changed
 
-    def take(self, moves: Sequence[Move]) -> None:
-        """Take the moves."""
+    def apply(self, moves: Sequence[Move]) -> None:
+        """Apply the moves."""
         for rank, load in self.changed_loads(moves).items():
             self.loads[rank] = load
         for move in moves:
-            self.ranks[move.rank].discard(move.out)
-            self.ranks[move.rank].add(move.into)
-            self.holders[move.out].discard(move.rank)
-            self.holders[move.into].add(move.rank)
+            self.ranks[move.rank].discard(move.removed)
+            self.ranks[move.rank].add(move.added)
+            self.holders[move.removed].discard(move.rank)
+            self.holders[move.added].add(move.rank)
 
     def as_layer(self) -> LayerMap:
-        """Return the layer as frozen data."""
+        """Return the layer as an immutable map."""
         return tuple(tuple(sorted(experts)) for experts in self.ranks)
 
 
 @dataclass(frozen=True)
 class Improvement:
-    """Hold moves that only make sense together, and what they are worth."""
+    """Hold moves that must be applied together, and their combined benefit."""
 
     moves: tuple[Move, ...]
-    worth: float
+    benefit: float
 
 
-def find_best(state: LayerState, mean: float) -> Improvement | None:
-    """Return the change worth most for each weight, of those that relieve the longest rank.
+def find_best_change(state: LayerState, mean: float) -> Improvement | None:
+    """Return the change to the most loaded rank with the largest benefit per weight loaded.
 
-    The shortest ranks are tried first; all others only when none of those offers anything.
+    The least loaded ranks are tried as targets first, and the others only if none of them helps.
     """
-    few = _find_best_on(state, mean, _SHORT_RANKS_TRIED)
-    return few if few is not None else _find_best_on(state, mean, len(state.loads) - 1)
+    best = _find_best_among(state, mean, _MAX_TARGET_RANKS)
+    return best if best is not None else _find_best_among(state, mean, len(state.loads) - 1)
 
 
-def _find_best_on(state: LayerState, mean: float, ranks_tried: int) -> Improvement | None:
+def _find_best_among(state: LayerState, mean: float, ranks_tried: int) -> Improvement | None:
     best: Improvement | None = None
-    for moves in _propose(state, ranks_tried):
+    for moves in _iter_changes(state, ranks_tried):
         changed = state.changed_loads(moves)
-        before = sum(_weigh(state.loads[rank] / mean) for rank in changed)
-        worth = before - sum(_weigh(load / mean) for load in changed.values())
-        if worth > 0 and (best is None or worth / len(moves) > best.worth / len(best.moves)):
-            best = Improvement(moves, worth)
+        before = sum(_penalize(state.loads[rank] / mean) for rank in changed)
+        benefit = before - sum(_penalize(load / mean) for load in changed.values())
+        if benefit > 0 and (best is None or benefit / len(moves) > best.benefit / len(best.moves)):
+            best = Improvement(moves, benefit)
     return best
 
 
-def _weigh(load: float) -> float:
-    """Weigh a load so that the longest count most: where several ranks are the longest, a change
-    that relieves one of them is still worth something, though the maximum stays."""
+def _penalize(load: float) -> float:
+    """Return the eighth power of a load, a smooth stand-in for the maximum.
+
+    If several ranks share the highest load, relieving one of them counts as progress although the
+    maximum is unchanged.
+    """
     square = load * load
     fourth = square * square
     return fourth * fourth
 
 
-def _propose(state: LayerState, ranks_tried: int) -> Iterator[tuple[Move, ...]]:
-    """Offer replicas of the longest rank's experts, and exchanges, on the shortest ranks."""
+def _iter_changes(state: LayerState, ranks_tried: int) -> Iterator[tuple[Move, ...]]:
+    """Yield replications and swaps of the most loaded rank's experts on the least loaded ranks."""
     by_load = sorted(range(len(state.loads)), key=state.loads.__getitem__)
-    longest, shortest = by_load[-1], by_load[:-1][:ranks_tried]
-    hot = sorted(state.ranks[longest], key=lambda e: (-state.share(e), e))
-    for rank in shortest:
-        held = sorted(state.ranks[rank], key=lambda e: (state.share(e), e))
-        spare = [e for e in held if len(state.holders[e]) > 1][:_SPARES_TRIED]
+    most_loaded, least_loaded = by_load[-1], by_load[:-1][:ranks_tried]
+    hot = sorted(state.ranks[most_loaded], key=lambda e: (-state.replica_tokens(e), e))
+    for rank in least_loaded:
+        held = sorted(state.ranks[rank], key=lambda e: (state.replica_tokens(e), e))
+        spare = [e for e in held if len(state.holders[e]) > 1][:_MAX_REPLACED_REPLICAS]
         for expert in hot:
             if expert in state.ranks[rank]:
                 continue
-            for out in spare:
-                yield (Move(rank, out, expert),)
-            for out in held:
-                if out not in state.ranks[longest] and state.share(out) < state.share(expert):
-                    yield (Move(rank, out, expert), Move(longest, expert, out))
+            for removed in spare:
+                yield (Move(rank, removed, expert),)
+            for removed in held:
+                if removed not in state.ranks[most_loaded] and state.replica_tokens(
+                    removed
+                ) < state.replica_tokens(expert):
+                    yield (Move(rank, removed, expert), Move(most_loaded, expert, removed))
--- a/dalehollow/groups/place.py
+++ b/dalehollow/groups/place.py
@@ -1,8 +1,8 @@
-"""Improve where a layer's experts stand, within the places and copies that ranks allow.
+"""Improve the placement of experts within the slot and copy limits of the ranks.
 
-A pass lasts as long as the most loaded rank of each layer, so a change is worth what it takes off
-that rank's load, less a price for each weight that must be copied. Ranks copy at the same time, so
-a change takes as long as the rank that copies most, over all layers together.
+In every layer, a pass waits for the most loaded rank. The gain of a change is therefore the
+reduction of that rank's load, less a cost for each weight that must be copied. Ranks copy in
+parallel, so a change takes as long as the rank with the most copies over all layers.
 """
 
 from __future__ import annotations
@@ -12,21 +12,22 @@
 
 from dalehollow.groups.expert_map import LayerMap, rank_loads
 
-_POWER = 6
-"""Ranks weigh by this power of their load: high enough that the longest decide, low enough that
-taking one of two equally long ranks down counts as progress."""
-_LIGHT_RANKS = 4
-"""Targets looked at for a move, the least loaded ranks: more cost time and change little."""
-_GIVE_UP_STEPS = 4
+_LOAD_EXPONENT = 6
+"""Exponent of a rank's load in the score: high enough that the most loaded ranks dominate, low
+enough that relieving one of two equally loaded ranks counts as progress."""
+_MAX_TARGET_RANKS = 4
+"""Number of least loaded ranks tried as targets; more of them cost time for little gain."""
+_MAX_STEPS_WITHOUT_GAIN = 4
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """Bound a change of one layer.
+    """Set the limits of a map change.
 
-    `places` experts a rank at most, `spare` experts new to a rank in one change; `price` is the
-    share of the mean load that one copied weight must take off the longest rank; `rank_copies`
-    bounds what is new to a rank in all layers together.
+    `places` is the maximum number of experts per rank and layer, `spare` the maximum number of
+    copies to a rank per layer, and `rank_copies` the maximum number of copies to a rank over all
+    layers. `price` is the share of the mean load by which each copied weight must reduce the
+    highest load.
     """
 
     places: int
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Improved:
-    """Hold a changed layer, its copies, and the longest rank over the mean before and after."""
+    """Hold a changed layer, its copy count, and its highest load over the mean before and after."""
 
     layer: LayerMap
     copies: int
@@ -48,9 +49,9 @@
 def layer_loads(
     layer: LayerMap, demand: Sequence[float], paces: Sequence[float] | None = None
 ) -> list[float]:
-    """Return each rank's time over the mean load; an expert's tokens are shared by its holders.
+    """Return each rank's load relative to the mean; replicas share an expert's tokens evenly.
 
-    `paces` holds how many times longer than usual each rank takes.
+    `paces` holds each rank's step time as a multiple of its usual one.
     """
     scale = len(layer) / (sum(demand) or 1.0)
     loads = [load * scale for load in rank_loads(layer, demand)]
@@ -63,26 +64,29 @@
     bounds: Bounds,
     paces: Sequence[float] | None = None,
 ) -> Iterator[tuple[Improved, ...]]:
-    """Yield after each change what is found so far, until none pays any more.
+    """Yield the best layers found so far after each change, until no change improves them.
 
-    The layer with the longest rank goes first: what ranks may copy goes where it brings most.
+    The layer with the highest load is changed first, so that the copy limit of the ranks is spent
+    where it gains most.
     """
     ranks = len(layers[0])
-    room = [bounds.rank_copies] * ranks
+    copies_left = [bounds.rank_copies] * ranks
     searches = [
-        _Search(_Work(layer, wanted, bounds, paces or [1.0] * ranks, room))
-        for layer, wanted in zip(layers, demand, strict=True)
+        _LayerSearch(_LayerState(layer, layer_demand, bounds, paces or [1.0] * ranks, copies_left))
+        for layer, layer_demand in zip(layers, demand, strict=True)
     ]
     while unfinished := [s for s in searches if not s.is_finished]:
-        max(unfinished, key=lambda s: s.longest).advance()
+        max(unfinished, key=lambda s: s.highest_load).advance()
         yield tuple(s.best for s in searches)
 
 
 @dataclass(frozen=True)
 class _Change:
-    """Add `expert` to the rank `target`; drop what gives way there and perhaps at the source.
+    """Copy `expert` to the rank `target`, optionally replacing `dropped` there.
 
-    `load_changes` holds what it adds to the load of each rank, before its pace.
+    `leaves_source` moves the expert instead of replicating it, and `swapped_back` is the expert
+    that moves to the source in exchange. `load_changes` holds the change of each rank's load,
+    before the rank's pace is applied.
     """
 
     score: float
@@ -92,41 +96,44 @@
     dropped: int | None
     source: int
     leaves_source: bool
-    returns: int | None
+    swapped_back: int | None
 
 
-class _Search:
-    """Hold the search for the best change of one layer."""
+class _LayerSearch:
+    """Search for the best sequence of changes to one layer."""
 
-    def __init__(self, work: _Work) -> None:
-        self._work = work
-        self._before = max(work.loads)
+    def __init__(self, state: _LayerState) -> None:
+        self._state = state
+        self._before = max(state.loads)
         self._best_gain = 0.0
         self._since_best = 0
-        self.best = Improved(work.as_layer(), 0, self._before, self._before)
+        self.best = Improved(state.as_layer(), 0, self._before, self._before)
         self.is_finished = False
 
     @property
-    def longest(self) -> float:
-        """Return the longest rank's load as the layer is now."""
-        return max(self._work.loads)
+    def highest_load(self) -> float:
+        """Return the highest rank load of the layer in its current state."""
+        return max(self._state.loads)
 
     def advance(self) -> None:
-        """Take one more change, or finish where none pays."""
-        if self._since_best == _GIVE_UP_STEPS or not self._work.take_best():
+        """Apply the next change, or finish if none improves the layer."""
+        if self._since_best == _MAX_STEPS_WITHOUT_GAIN or not self._state.apply_best():
             self.is_finished = True
-            self._work.give_back_room(self.best.layer)
+            self._state.release_unused_copies(self.best.layer)
             return
-        copies = self._work.copies
-        gain = self._before - self.longest - self._work.bounds.price * copies
+        copies = self._state.copies
+        gain = self._before - self.highest_load - self._state.bounds.price * copies
         self._since_best += 1
         if gain > self._best_gain:
-            self.best = Improved(self._work.as_layer(), copies, self._before, self.longest)
+            self.best = Improved(self._state.as_layer(), copies, self._before, self.highest_load)
             self._best_gain, self._since_best = gain, 0
 
 
-class _Work:
-    """Hold a layer while it is changed; `room` is what each rank may still copy in all layers."""
+class _LayerState:
+    """Hold a layer during the search.
+
+    `copies_left` holds the copies left to each rank and is shared by all layers.
+    """
 
     def __init__(
         self,
@@ -134,10 +141,10 @@
         demand: Sequence[float],
         bounds: Bounds,
         paces: Sequence[float],
-        room: list[int],
+        copies_left: list[int],
     ) -> None:
         self.bounds = bounds
-        self._room = room
+        self._copies_left = copies_left
         self._paces = paces
         total = sum(demand) or 1.0
         self._demand = [d * len(layer) / total for d in demand]
@@ -153,12 +160,12 @@
     def as_layer(self) -> LayerMap:
         return tuple(tuple(sorted(held)) for held in self._held)
 
-    def take_best(self) -> bool:
-        """Take the change that relieves the most loaded rank best; return False if none does."""
+    def apply_best(self) -> bool:
+        """Apply the best change to the most loaded rank; return False if none helps."""
         source = max(range(len(self.loads)), key=self.loads.__getitem__)
         ranks = sorted(range(len(self.loads)), key=self.loads.__getitem__)
         best: _Change | None = None
-        for target in ranks[:_LIGHT_RANKS]:
+        for target in ranks[:_MAX_TARGET_RANKS]:
             if target == source:
                 continue
             for expert in self._held[source] - self._held[target]:
@@ -175,32 +182,35 @@
             return []
         changes = []
         if len(self._held[target]) < self.bounds.places:
-            changes.append(self._rate(source, target, expert, None, False, None))
-            changes.append(self._rate(source, target, expert, None, True, None))
+            changes.append(self._score_change(source, target, expert, None, False, None))
+            changes.append(self._score_change(source, target, expert, None, True, None))
         for other in self._held[target]:
             if len(self._holders[other]) > 1:
-                changes.append(self._rate(source, target, expert, other, False, None))
+                changes.append(self._score_change(source, target, expert, other, False, None))
             elif other not in self._held[source] and self._may_copy(source, other):
-                changes.append(self._rate(source, target, expert, other, True, other))
+                changes.append(self._score_change(source, target, expert, other, True, other))
         return changes
 
     def _may_copy(self, rank: int, expert: int) -> bool:
         if expert in self._origin[rank]:
             return True
-        if not self._room[rank]:
+        if not self._copies_left[rank]:
             return False
         return len(self._held[rank] - self._origin[rank]) < self.bounds.spare
 
-    def _rate(
+    def _score_change(
         self,
         source: int,
         target: int,
         expert: int,
         dropped: int | None,
         leaves_source: bool,
-        returns: int | None,
+        swapped_back: int | None,
     ) -> _Change:
-        """Rate a change by the sum of the changed ranks' loads to a power, lower being better."""
+        """Score a change by its effect on the sum of powers of the rank loads; lower is better.
+
+        The score is per copied weight.
+        """
         changes: dict[int, float] = {}
 
         def add(rank: int, load: float) -> None:
@@ -211,27 +221,27 @@
             add(source, -share)
             add(target, share)
         else:
-            share = self._share_of(expert, more=1)
+            share = self._share_of(expert, extra_replicas=1)
             lost = self._share_of(expert) - share
             for rank in self._holders[expert]:
                 add(rank, -lost)
             add(target, share)
-        if returns is not None:
-            share = self._share_of(returns)
+        if swapped_back is not None:
+            share = self._share_of(swapped_back)
             add(target, -share)
             add(source, share)
         elif dropped is not None:
             share = self._share_of(dropped)
-            gained = self._share_of(dropped, more=-1) - share
+            gained = self._share_of(dropped, extra_replicas=-1) - share
             for rank in self._holders[dropped]:
                 add(rank, gained)
             add(target, -share - gained)
         score = 0.0
         for rank, change in changes.items():
             load = self.loads[rank]
-            score += (load + change * self._paces[rank]) ** _POWER - load**_POWER
+            score += (load + change * self._paces[rank]) ** _LOAD_EXPONENT - load**_LOAD_EXPONENT
         copies = (expert not in self._origin[target]) + (
-            returns is not None and returns not in self._origin[source]
+            swapped_back is not None and swapped_back not in self._origin[source]
         )
         return _Change(
             score / max(1, copies),
@@ -241,12 +251,12 @@
             dropped,
             source,
             leaves_source,
-            returns,
+            swapped_back,
         )
 
-    def _share_of(self, expert: int, *, more: int = 0) -> float:
-        """Return the load that an expert is at each holder, with so many holders more."""
-        return self._demand[expert] / (len(self._holders[expert]) + more)
+    def _share_of(self, expert: int, *, extra_replicas: int = 0) -> float:
+        """Return an expert's load on each of its ranks, given `extra_replicas` more replicas."""
+        return self._demand[expert] / (len(self._holders[expert]) + extra_replicas)
 
     def _apply(self, change: _Change) -> None:
         self._place(change.expert, change.target)
@@ -254,8 +264,8 @@
             self._remove(change.dropped, change.target)
         if change.leaves_source:
             self._remove(change.expert, change.source)
-        if change.returns is not None:
-            self._place(change.returns, change.source)
+        if change.swapped_back is not None:
+            self._place(change.swapped_back, change.source)
         for rank, load in change.load_changes.items():
             self.loads[rank] += load * self._paces[rank]
 
@@ -272,15 +282,15 @@
     def _count_copy(self, expert: int, rank: int, change: int) -> None:
         if expert not in self._origin[rank]:
             self.copies += change
-            self._room[rank] -= change
+            self._copies_left[rank] -= change
 
-    def give_back_room(self, kept: LayerMap) -> None:
-        """Leave to other layers what ranks would have copied beyond the layer that is kept."""
+    def release_unused_copies(self, kept: LayerMap) -> None:
+        """Release the copies that the layer in `kept` does not need, for use by other layers."""
         for rank, held in enumerate(kept):
-            self._room[rank] += len(self._held[rank] - self._origin[rank])
-            self._room[rank] -= len(set(held) - self._origin[rank])
+            self._copies_left[rank] += len(self._held[rank] - self._origin[rank])
+            self._copies_left[rank] -= len(set(held) - self._origin[rank])
 
 
 def deal_in_turn(ranks: int, experts: int) -> LayerMap:
-    """Return the layer that a group starts with: expert e stands at rank e modulo the ranks."""
+    """Return the initial layer of a group: expert e is placed on rank e modulo `ranks`."""
     return tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
--- a/dalehollow/groups/plan.py
+++ b/dalehollow/groups/plan.py
@@ -1,9 +1,9 @@
-"""Improve an expert map in small moves, each worth its cost under the deployment's policy.
+"""Improve an expert map by small moves whose gain exceeds their cost under the deployment's policy.
 
-A move is taken where it lowers the layer's longest rank by more than the policy's price for each
-weight that must be loaded. Planning begins only when the skew that the moves could remove
-exceeds what counting noise explains, so that noise alone moves nothing; for a layer whose demand
-has changed beyond doubt it begins earlier.
+A move is accepted if it lowers the load of the layer's most loaded rank by more than the policy's
+cost for each weight that must be loaded. A layer is planned only if its skew exceeds what sampling
+noise explains, so that noise alone causes no moves. The threshold is lower for a layer whose
+demand has changed significantly.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
     rank_loads,
     step_skew,
 )
-from dalehollow.groups.layer import LayerState, find_best
+from dalehollow.groups.layer import LayerState, find_best_change
 
-NOISE_DEVIATIONS = 4.0
-GIVE_UP_LOSS = 0.1
+NOISE_SIGMAS = 4.0
+MAX_GAIN_LOSS = 0.1
 
 
 @dataclass(frozen=True)
 class Policy:
-    """Weigh skew against moves.
+    """Set the trade-off between skew and moves.
 
-    `price_per_move` is the share of a layer's mean time that one moved weight must save;
-    `begin_skew` is the skew over the noise at which a layer is worked on at all, and
-    `begin_moving_skew` the same for a layer whose demand is known to be changing.
+    `price_per_move` is the share of a layer's mean load that each moved weight must save.
+    `begin_skew` is the skew above the noise from which a layer is planned, and `begin_moving_skew`
+    the same for a layer whose demand has changed significantly.
     """
 
     price_per_move: float
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """Hold a planned map, what it costs and what it is expected to bring."""
+    """Hold a planned map, its number of moves and the skew expected before and after."""
 
     expert_map: ExpertMap
     moves: int
@@ -72,42 +72,47 @@
 ) -> Plan:
     """Plan the next map; a plan without moves keeps the current one.
 
-    `demand` holds tokens for each expert of each layer; `tokens_counted`, for a demand that was
-    scaled or smoothed, is how many tokens of a layer it really rests on. `moving` marks the layers
-    whose demand is known to be changing; `max_moves` is what the weight store can load in time.
+    `demand` holds tokens for each expert of each layer. `tokens_counted` is the effective sample
+    size per layer, needed if the demand was scaled or smoothed. `moving` marks the layers whose
+    demand has changed significantly. `max_moves` is what the weight store can load in time.
     """
     before = step_skew(current, demand, speeds)
-    even = [1.0] * current.ranks
+    equal_speeds = [1.0] * current.ranks
     layers = list(current.layers)
-    left = policy.max_moves if max_moves is None else min(max_moves, policy.max_moves)
-    for idx in _order_layers(current, demand, speeds):
-        if left <= 0:
+    moves_left = policy.max_moves if max_moves is None else min(max_moves, policy.max_moves)
+    for idx in _order_by_skew(current, demand, speeds):
+        if moves_left <= 0:
             break
-        counted = sum(demand[idx]) if tokens_counted is None else tokens_counted
-        noise = _noise_skew(sum(demand[idx]), counted, current.ranks)
-        begin = policy.begin_skew + NOISE_DEVIATIONS * noise
+        sample_size = sum(demand[idx]) if tokens_counted is None else tokens_counted
+        noise = _noise_skew(sum(demand[idx]), sample_size, current.ranks)
+        start_skew = policy.begin_skew + NOISE_SIGMAS * noise
         if moving is not None and moving[idx]:
-            begin = policy.begin_moving_skew + noise
-        layers[idx], used = _improve_layer(
-            layers[idx], demand[idx], speeds or even, policy, (begin, noise), left
+            start_skew = policy.begin_moving_skew + noise
+        layers[idx], moves_used = _improve_layer(
+            layers[idx],
+            demand[idx],
+            speeds or equal_speeds,
+            policy,
+            (start_skew, noise),
+            moves_left,
         )
-        left -= used
+        moves_left -= moves_used
     planned = ExpertMap(tuple(layers))
     moves = count_moves(current, planned)
     after = step_skew(planned, demand, speeds)
-    return Plan(planned, moves, before, after, _explain(moves, before, after, policy))
+    return Plan(planned, moves, before, after, _describe_plan(moves, before, after, policy))
 
 
-def _explain(moves: int, before: float, after: float, policy: Policy) -> str:
+def _describe_plan(moves: int, before: float, after: float, policy: Policy) -> str:
     if not moves:
-        return f"skew {before:.3f}: no move is worth {policy.price_per_move} of a layer's time"
-    return f"{moves} moves lower the expected skew from {before:.3f} to {after:.3f}"
+        return f"skew {before:.3f}: no move saves {policy.price_per_move} of a layer's mean load"
+    return f"{moves} moves reduce the expected skew from {before:.3f} to {after:.3f}"
 
 
-def _order_layers(
+def _order_by_skew(
     current: ExpertMap, demand: Sequence[Sequence[float]], speeds: Sequence[float] | None
 ) -> list[int]:
-    """Return the layers, the most skewed first."""
+    """Return the layer indices in order of decreasing skew."""
     skews = [
         layer_skew(rank_loads(layer, d, speeds))
         for layer, d in zip(current.layers, demand, strict=True)
@@ -115,11 +120,11 @@
     return sorted(range(len(skews)), key=lambda idx: -skews[idx])
 
 
-def _noise_skew(tokens: float, counted: float, ranks: int) -> float:
-    """Return the deviation that counting noise gives to an even rank's load."""
-    if tokens <= 0 or counted <= 0:
+def _noise_skew(tokens: float, sample_size: float, ranks: int) -> float:
+    """Return the standard deviation of a rank's relative load under balanced Poisson counts."""
+    if tokens <= 0 or sample_size <= 0:
         return math.inf
-    return 1 / math.sqrt(counted / ranks)
+    return 1 / math.sqrt(sample_size / ranks)
 
 
 def _improve_layer(
@@ -128,46 +133,46 @@
     speeds: Sequence[float],
     policy: Policy,
     bounds: tuple[float, float],
-    most_moves: int,
+    move_limit: int,
 ) -> tuple[LayerMap, int]:
-    """Take the best change again and again, and keep those up to where all of them paid most.
+    """Apply the best change repeatedly and return the layer at the largest total gain.
 
-    `bounds` are the skews at which to begin and to stop.
+    `bounds` are the skews at which to start and to stop.
     """
-    begin, stop = bounds
-    state = LayerState.of(layer, demand, speeds)
+    start_skew, stop_skew = bounds
+    state = LayerState.from_layer(layer, demand, speeds)
     mean = sum(state.loads) / len(state.loads)
-    if layer_skew(state.loads) < begin:
+    if layer_skew(state.loads) < start_skew:
         return layer, 0
-    begun = max(state.loads)
-    used, best_gain, best = 0, 0.0, (layer, 0)
-    while layer_skew(state.loads) > stop:
-        change = find_best(state, mean)
-        if change is None or used + len(change.moves) > most_moves:
+    initial_max = max(state.loads)
+    moves_used, best_gain, best = 0, 0.0, (layer, 0)
+    while layer_skew(state.loads) > stop_skew:
+        change = find_best_change(state, mean)
+        if change is None or moves_used + len(change.moves) > move_limit:
             break
-        state.take(change.moves)
-        used += len(change.moves)
-        # Several ranks may be about the longest: only all their moves together pay.
-        gain = (begun - max(state.loads)) / mean - policy.price_per_move * used
+        state.apply(change.moves)
+        moves_used += len(change.moves)
+        # Several ranks may share the highest load; the gain appears once all of them are relieved.
+        gain = (initial_max - max(state.loads)) / mean - policy.price_per_move * moves_used
         if gain > best_gain:
-            best_gain, best = gain, (state.as_layer(), used)
-        elif gain < best_gain - GIVE_UP_LOSS:
+            best_gain, best = gain, (state.as_layer(), moves_used)
+        elif gain < best_gain - MAX_GAIN_LOSS:
             break
-    return _place_anew(layer, best, demand, speeds, policy, stop, most_moves)
+    return _rebuild_layer_if_stuck(layer, best, demand, speeds, policy, stop_skew, move_limit)
 
 
-def _place_anew(
+def _rebuild_layer_if_stuck(
     layer: LayerMap,
     best: tuple[LayerMap, int],
     demand: Sequence[float],
     speeds: Sequence[float],
     policy: Policy,
-    stop: float,
-    most_moves: int,
+    stop_skew: float,
+    move_limit: int,
 ) -> tuple[LayerMap, int]:
-    """Take a placement from nothing instead, where small changes are stuck and it pays."""
+    """Return a layer built from scratch if local search is stuck and the gain exceeds its cost."""
     loads = rank_loads(best[0], demand, speeds)
-    if layer_skew(loads) <= 2 * stop:
+    if layer_skew(loads) <= 2 * stop_skew:
         return best
     slots = max(len(experts) for experts in layer)
     fresh = make_layer(demand, len(layer), slots, speeds)
@@ -177,6 +182,6 @@
     mean = sum(loads) / len(loads)
     moves = count_moves(ExpertMap((layer,)), ExpertMap((fresh,)))
     saved = (max(loads) - max(fresh_loads)) / mean
-    if moves > most_moves or saved <= policy.price_per_move * (moves - best[1]):
+    if moves > move_limit or saved <= policy.price_per_move * (moves - best[1]):
         return best
     return fresh, moves
--- a/dalehollow/groups/planner.py
+++ b/dalehollow/groups/planner.py
@@ -1,4 +1,4 @@
-"""Plan one group's expert map as long as this process has the duty for it."""
+"""Plan one group's expert map while this process holds the group's planner lease."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from dalehollow.groups.votes import Proposal, ProposalId, Vote, is_switching
 from dalehollow.telemetry.logs import log_event
 
-LEAD_STEPS = 50
-LOAD_POLLS = 400
+SWITCH_LEAD_STEPS = 50
+MAX_LOAD_POLLS = 400
 
 _log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
 class GroupLinks:
-    """Hold the ways to a group's ranks; each may fail as Err(why)."""
+    """Bundle the calls to a group's ranks; a failed call returns Err with the cause."""
 
     read: Callable[[int], Result[RankState, str]]
     load: Callable[[int, LoadOrder], Result[LoadState, str]]
@@ -35,33 +35,39 @@
 
 
 def digest_map(expert_map: ExpertMap) -> str:
-    """Return the digest that names a map."""
+    """Return the first 16 hex digits of the SHA-256 digest of a map's JSON encoding."""
     return hashlib.sha256(msgspec.json.encode(expert_map)).hexdigest()[:16]
 
 
 def list_changes(before: ExpertMap, after: ExpertMap) -> tuple[Change, ...]:
-    """List the slots that differ, paired rank by rank; sound because slot counts stay."""
+    """List the slots that differ between two maps.
+
+    Removed and added experts are paired within a rank, whose slot count must be equal in both maps.
+    """
     changes: list[Change] = []
     for layer, (old_layer, new_layer) in enumerate(zip(before.layers, after.layers, strict=True)):
         for rank, (old, new) in enumerate(zip(old_layer, new_layer, strict=True)):
             leaving = sorted(set(old) - set(new))
-            coming = sorted(set(new) - set(old))
-            changes += [(layer, rank, out, into) for out, into in zip(leaving, coming, strict=True)]
+            arriving = sorted(set(new) - set(old))
+            changes += [
+                (layer, rank, removed, added)
+                for removed, added in zip(leaving, arriving, strict=True)
+            ]
     return tuple(changes)
 
 
 def apply_changes(before: ExpertMap, changes: tuple[Change, ...]) -> ExpertMap:
-    """Return the map that the changes lead to."""
+    """Return the map that results from applying the changes."""
     layers = [[list(experts) for experts in layer] for layer in before.layers]
-    for layer, rank, out, into in changes:
+    for layer, rank, removed, added in changes:
         experts = layers[layer][rank]
-        experts[experts.index(out)] = into
+        experts[experts.index(removed)] = added
     return ExpertMap(tuple(tuple(tuple(sorted(e)) for e in layer) for layer in layers))
 
 
 @dataclass
 class Planner:
-    """Hold what a planner knows of its group; all of it can be read again from the ranks."""
+    """Plan map changes for one group; all state can be read again from the ranks."""
 
     group: str
     ranks: int
@@ -69,27 +75,27 @@
     links: GroupLinks
     max_moves: int
     average: DemandAverage = field(default_factory=DemandAverage)
-    last_reason: str = "nothing planned yet"
+    last_reason: str = "no planning run yet"
     maps: dict[str, ExpertMap] = field(default_factory=dict)
     _sequence: int = 0
     _last_counts: dict[tuple[int, int], int] = field(default_factory=dict)
 
     def learn_map(self, expert_map: ExpertMap) -> None:
-        """Keep a map by its digest."""
+        """Cache a map under its digest."""
         self.maps[digest_map(expert_map)] = expert_map
 
     def run_once(self, fence: int) -> str:
-        """Read the ranks, plan, load and put the new map to the vote; return what came of it."""
+        """Read the ranks, plan a map, load its weights and propose it; return the reason text."""
         states = self._read_ranks()
         if states is None:
-            self.last_reason = "a rank cannot be read; nothing planned"
+            self.last_reason = "a rank state could not be read; planning skipped"
             return self.last_reason
         current = self._current_map(states)
         if current is None:
-            self.last_reason = "the ranks are switching or their map is unknown; nothing planned"
+            self.last_reason = "ranks are switching maps or their map is unknown; planning skipped"
             return self.last_reason
-        if not self._count(states, current):
-            self.last_reason = "no new counts"
+        if not self._add_counts(states, current):
+            self.last_reason = "no new token counts"
             return self.last_reason
         plan = plan_map(
             current,
@@ -100,7 +106,7 @@
             max_moves=self.max_moves,
         )
         self.last_reason = plan.reason
-        if plan.moves and self._load(fence, current, plan):
+        if plan.moves and self._load_weights(fence, current, plan):
             self._propose(fence, states, plan)
         return self.last_reason
 
@@ -114,7 +120,7 @@
         return states
 
     def _current_map(self, states: Mapping[int, RankState]) -> ExpertMap | None:
-        """Return the map of all ranks, or None while they differ or wait for an outcome."""
+        """Return the map of all ranks, or None while maps differ or a proposal is undecided."""
         ledgers = [state.ledger for state in states.values()]
         digests = {ledger.map_digest for ledger in ledgers}
         is_open = any(ledger.armed is not None or is_switching(ledger) for ledger in ledgers)
@@ -127,8 +133,8 @@
                 self.learn_map(read.ok_value)
         return self.maps.get(digest)
 
-    def _count(self, states: Mapping[int, RankState], current: ExpertMap) -> bool:
-        """Add what was counted since the last reading to the average."""
+    def _add_counts(self, states: Mapping[int, RankState], current: ExpertMap) -> bool:
+        """Add the counts since the previous read to the average; return False if there are none."""
         totals: dict[tuple[int, int], int] = {}
         for state in states.values():
             for layer, expert, tokens in state.counts:
@@ -147,29 +153,33 @@
         self.average.add(window)
         return True
 
-    def _load(self, fence: int, current: ExpertMap, plan: Plan) -> bool:
-        """Have all ranks load the new weights while they go on with the old map."""
+    def _load_weights(self, fence: int, current: ExpertMap, plan: Plan) -> bool:
+        """Load the new weights on all ranks while they keep serving with the current map."""
         order = LoadOrder(
             fence,
             digest_map(current),
             digest_map(plan.expert_map),
             list_changes(current, plan.expert_map),
         )
-        # Only the map in force and the next one matter from here on.
+        # Older maps are no longer needed; dropping them bounds the cache.
         self.maps = {digest_map(m): m for m in (current, plan.expert_map)}
-        waiting = set(range(self.ranks))
-        for _ in range(LOAD_POLLS):
-            for rank in sorted(waiting):
+        pending = set(range(self.ranks))
+        for _ in range(MAX_LOAD_POLLS):
+            for rank in sorted(pending):
                 state = self.links.load(rank, order)
                 if isinstance(state, Ok) and state.ok_value == "refused":
-                    self.last_reason = f"rank {rank} refused to load: a newer planner is at work"
+                    self.last_reason = (
+                        f"rank {rank} refused to load: it has seen a newer planner's fence"
+                    )
                     return False
                 if isinstance(state, Ok) and state.ok_value == "loaded":
-                    waiting.discard(rank)
-            if not waiting:
+                    pending.discard(rank)
+            if not pending:
                 return True
             self.links.wait()
-        self.last_reason = f"ranks {sorted(waiting)} did not load in time; the map stays"
+        self.last_reason = (
+            f"ranks {sorted(pending)} did not load the weights in time; map unchanged"
+        )
         return False
 
     def _propose(self, fence: int, states: Mapping[int, RankState], plan: Plan) -> None:
@@ -178,7 +188,7 @@
         proposal = Proposal(
             ProposalId(fence, self._sequence),
             base_version=fresh[0].ledger.version,
-            switch_step=max(s.ledger.step for s in fresh.values()) + LEAD_STEPS,
+            switch_step=max(s.ledger.step for s in fresh.values()) + SWITCH_LEAD_STEPS,
             map_digest=digest_map(plan.expert_map),
         )
         votes = [self.links.vote(rank, proposal) for rank in range(self.ranks)]
