--- a/dalehollow/groups/__init__.py
+++ b/dalehollow/groups/__init__.py
@@ -4,7 +4,7 @@
 
 from dalehollow.groups.expert_map import ExpertMap, LayerMap, layer_skew, rank_loads, step_skew
 from dalehollow.groups.plan import POLICIES, Plan, Policy, plan_map
-from dalehollow.groups.votes import Ledger, Outcome, Proposal, Vote, decide_vote, settle
+from dalehollow.groups.votes import Ledger, Outcome, Proposal, Vote, decide_vote, tally_votes
 
 __all__ = [
     "POLICIES",
@@ -20,6 +20,6 @@
     "layer_skew",
     "plan_map",
     "rank_loads",
-    "settle",
     "step_skew",
+    "tally_votes",
 ]
--- a/dalehollow/groups/demand.py
+++ b/dalehollow/groups/demand.py
@@ -1,4 +1,4 @@
-"""Smooth the counts of tokens for each expert, and tell real change from counting noise."""
+"""Smooth the token counts of each expert, and distinguish changes from sampling noise."""
 
 from __future__ import annotations
 
@@ -8,25 +8,26 @@
 
 FAST_WEIGHT = 0.5
 SLOW_WEIGHT = 0.1
-CHANGE_DEVIATIONS = 6.0
+CHANGE_SIGMAS = 6.0
 
 Counts = Sequence[Sequence[float]]
 
 
-def _blend(mine: Counts, theirs: Counts, weight: float) -> list[list[float]]:
-    keep = 1 - weight
+def _interpolate(previous: Counts, latest: Counts, weight: float) -> list[list[float]]:
+    previous_weight = 1 - weight
     return [
-        [keep * old + weight * new for old, new in zip(a, b, strict=True)]
-        for a, b in zip(mine, theirs, strict=True)
+        [previous_weight * old + weight * new for old, new in zip(a, b, strict=True)]
+        for a, b in zip(previous, latest, strict=True)
     ]
 
 
 @dataclass
 class DemandAverage:
-    """Hold a fast and a slow average of the demand; a missing count leaves them as they are.
+    """Keep a fast and a slow exponential moving average of the demand.
 
-    `tokens_counted` is how many tokens of a layer the fast average rests on. The variances are
-    those of counts (Poisson) under the two averages' weights, followed exactly from the start.
+    A window without counts leaves both unchanged. `tokens_counted` is the effective sample size of
+    the fast average, in tokens per layer. The variances are those of Poisson counts under the
+    weights of the two averages, tracked exactly from the first window.
     """
 
     demand: list[list[float]] = field(default_factory=list)
@@ -42,21 +43,21 @@
             self.demand = [list(layer) for layer in counts]
             self._slow = [list(layer) for layer in counts]
         else:
-            self.demand = _blend(self.demand, counts, FAST_WEIGHT)
-            self._slow = _blend(self._slow, counts, SLOW_WEIGHT)
-            self._follow_variances()
+            self.demand = _interpolate(self.demand, counts, FAST_WEIGHT)
+            self._slow = _interpolate(self._slow, counts, SLOW_WEIGHT)
+            self._update_variances()
         mean_tokens = sum(map(sum, self.demand)) / len(self.demand)
         self.tokens_counted = mean_tokens / self._fast_variance
 
     def moving_layers(self) -> list[bool]:
-        """Return for each layer whether its demand has changed beyond what noise explains."""
+        """Return for each layer whether its demand has changed beyond sampling noise."""
         factor = self._fast_variance + self._slow_variance - 2 * self._covariance
         return [
             _has_changed(fast, slow, factor)
             for fast, slow in zip(self.demand, self._slow, strict=True)
         ]
 
-    def _follow_variances(self) -> None:
+    def _update_variances(self) -> None:
         fast, slow = FAST_WEIGHT, SLOW_WEIGHT
         self._fast_variance = (1 - fast) ** 2 * self._fast_variance + fast**2
         self._slow_variance = (1 - slow) ** 2 * self._slow_variance + slow**2
@@ -64,11 +65,11 @@
 
 
 def _has_changed(fast: Sequence[float], slow: Sequence[float], factor: float) -> bool:
-    """Compare by the chi-square statistic, whose deviation is known."""
+    """Compare the averages by a chi-square statistic, whose standard deviation is known."""
     if factor <= 0:
         return False
     terms = [(f - s) ** 2 / (s * factor) for f, s in zip(fast, slow, strict=True) if s > 0]
     if not terms:
         return False
     statistic = sum(terms) / len(terms)
-    return statistic > 1 + CHANGE_DEVIATIONS * math.sqrt(2 / len(terms))
+    return statistic > 1 + CHANGE_SIGMAS * math.sqrt(2 / len(terms))
--- a/dalehollow/groups/duty.py
+++ b/dalehollow/groups/duty.py
@@ -1,4 +1,4 @@
-"""Hold a group's planning duty under a lease, with a fence that rises at each take-over."""
+"""Elect a group's planner by a lease with a fencing token that increases at each takeover."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class DutyRecord:
-    """Hold who has the duty; `fence` grows by one with each holder, `serial` with each renewal."""
+    """Store the lease; `fence` increases with each takeover and `serial` with each write."""
 
     holder: str
     fence: int
@@ -29,11 +29,11 @@
 
 @dataclass
 class Duty:
-    """Hold one process's claim to a group's duty.
+    """Acquire and renew the planner lease of a group for one process.
 
-    The record itself never expires, so that the fence is never lost: a lease has lapsed when
-    its serial has not moved for LEASE_MS on the watcher's own clock. The holder counts its lease
-    from before it asked for it, less a margin, on its own monotonic clock.
+    The record itself never expires, so that the fencing token is never lost. A lease has expired if
+    its serial has not changed for LEASE_MS on the observer's own clock. The holder counts its lease
+    on its own monotonic clock, from before the request was sent and less a margin.
     """
 
     kv: KeyValue
@@ -45,71 +45,71 @@
     _fence: int = 0
     _revision: int = 0
     _held_until_s: float = 0.0
-    _seen: DutyRecord | None = None
-    _seen_at_s: float = 0.0
+    _observed: DutyRecord | None = None
+    _observed_at_s: float = 0.0
     calls: int = field(default=0)
 
     def fence(self) -> int | None:
-        """Return the fence if the lease surely still holds, or None."""
+        """Return the fencing token while the lease is certainly valid, or None."""
         return self._fence if self.clock() < self._held_until_s else None
 
     def advance(self) -> int | None:
-        """Renew the lease if it is ours, take it if it has lapsed; return the fence if held."""
-        asked_at_s = self.clock()
+        """Renew an own lease or acquire an expired one; return the fencing token if it is held."""
+        requested_at_s = self.clock()
         self.calls += 1
-        found = self.kv.get(self.key, timeout_s=1.0)
-        if isinstance(found, Err):
+        reply = self.kv.get(self.key, timeout_s=1.0)
+        if isinstance(reply, Err):
             return self.fence()
-        entry = found.ok_value
+        entry = reply.ok_value
         record = msgspec.json.decode(entry.value, type=DutyRecord) if entry.revision else None
-        if not self._may_write(record, asked_at_s):
+        if not self._may_write(record, requested_at_s):
             return self.fence()
-        is_ours = record is not None and record.holder == self.name and self.fence() is not None
+        is_own = record is not None and record.holder == self.name and self.fence() is not None
         if record is None:
-            following = DutyRecord(self.name, 1, 1)
+            next_record = DutyRecord(self.name, 1, 1)
         else:
-            fence = record.fence if is_ours else record.fence + 1
-            following = DutyRecord(self.name, fence, record.serial + 1)
-        return self._write(following, entry.revision, asked_at_s)
+            fence = record.fence if is_own else record.fence + 1
+            next_record = DutyRecord(self.name, fence, record.serial + 1)
+        return self._write(next_record, entry.revision, requested_at_s)
 
     def release(self) -> None:
-        """Give the duty up at a planned stop, so that another need not wait for it."""
+        """Release the lease at a planned stop, so that another process can acquire it at once."""
         if self.fence() is None:
             return
         self._held_until_s = 0.0
-        found = self.kv.get(self.key, timeout_s=1.0)
-        if isinstance(found, Err) or not found.ok_value.revision:
+        reply = self.kv.get(self.key, timeout_s=1.0)
+        if isinstance(reply, Err) or not reply.ok_value.revision:
             return
-        record = msgspec.json.decode(found.ok_value.value, type=DutyRecord)
+        record = msgspec.json.decode(reply.ok_value.value, type=DutyRecord)
         if record.holder == self.name and record.fence == self._fence:
             released = DutyRecord(self.name, record.fence, record.serial + 1, is_released=True)
             self.kv.swap(
                 self.key,
                 msgspec.json.encode(released),
-                expected_revision=found.ok_value.revision,
+                expected_revision=reply.ok_value.revision,
             )
 
     def _may_write(self, record: DutyRecord | None, now_s: float) -> bool:
         if record is None or record.is_released:
             return True
         if record.holder == self.name:
-            # After a restart, or a lapse, the same name takes over from itself with a new fence.
+            # After a restart or an expiry, a process takes over from itself with a new token.
             return True
-        if record != self._seen:
-            self._seen, self._seen_at_s = record, now_s
+        if record != self._observed:
+            self._observed, self._observed_at_s = record, now_s
             return False
-        return now_s - self._seen_at_s >= self.lease_ms / _MS_PER_S
+        return now_s - self._observed_at_s >= self.lease_ms / _MS_PER_S
 
-    def _write(self, record: DutyRecord, revision: int, asked_at_s: float) -> int | None:
+    def _write(self, record: DutyRecord, revision: int, requested_at_s: float) -> int | None:
         value = msgspec.json.encode(record)
         self.calls += 1
         swapped = self.kv.swap(self.key, value, expected_revision=revision, timeout_s=1.0)
         won = isinstance(swapped, Ok) and swapped.ok_value.won
         if isinstance(swapped, Err) and swapped.err_value.may_have_written:
-            found = self.kv.get(self.key, timeout_s=1.0)
-            won = isinstance(found, Ok) and found.ok_value.value == value
+            reply = self.kv.get(self.key, timeout_s=1.0)
+            won = isinstance(reply, Ok) and reply.ok_value.value == value
         if not won:
             return self.fence()
         self._fence = record.fence
-        self._held_until_s = asked_at_s + (self.lease_ms - self.margin_ms) / _MS_PER_S
+        self._held_until_s = requested_at_s + (self.lease_ms - self.margin_ms) / _MS_PER_S
         return self.fence()
--- a/dalehollow/groups/expert_map.py
+++ b/dalehollow/groups/expert_map.py
@@ -1,4 +1,4 @@
-"""Hold which rank hosts which experts, and tell how evenly a demand falls on the ranks."""
+"""Describe the placement of experts on ranks, and compute how evenly it balances a demand."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 
 LayerMap = tuple[tuple[int, ...], ...]
-"""For each rank the experts in its slots, sorted; an expert may stand on several ranks."""
+"""The sorted experts of each rank; an expert may have replicas on several ranks."""
 
 
 @dataclass(frozen=True)
 class ExpertMap:
-    """Hold the map of all layers."""
+    """Hold the placement of all layers."""
 
     layers: tuple[LayerMap, ...]
 
@@ -24,14 +24,14 @@
 
 
 def count_replicas(layer: LayerMap) -> Counter[int]:
-    """Count on how many ranks each expert stands."""
+    """Count the ranks that host each expert."""
     return Counter(expert for experts in layer for expert in experts)
 
 
 def rank_loads(
     layer: LayerMap, demand: Sequence[float], speeds: Sequence[float] | None = None
 ) -> list[float]:
-    """Return each rank's work: its experts' tokens, shared among replicas, over its speed."""
+    """Return each rank's load: its share of its experts' tokens, divided by its speed."""
     replicas = count_replicas(layer)
     loads = [sum(demand[e] / replicas[e] for e in experts) for experts in layer]
     if speeds is None:
@@ -40,7 +40,7 @@
 
 
 def layer_skew(loads: Sequence[float]) -> float:
-    """Return how much longer the slowest rank takes than the mean: max over mean, minus one."""
+    """Return the skew of a layer: the maximum load over the mean, minus one."""
     mean = sum(loads) / len(loads)
     return max(loads) / mean - 1 if mean > 0 else 0.0
 
@@ -50,7 +50,7 @@
     demand: Sequence[Sequence[float]],
     speeds: Sequence[float] | None = None,
 ) -> float:
-    """Return the skew of a whole step: ranks wait for each other in every layer."""
+    """Return the skew of a whole step, in which ranks synchronize after every layer."""
     longest = mean = 0.0
     for layer, layer_demand in zip(expert_map.layers, demand, strict=True):
         loads = rank_loads(layer, layer_demand, speeds)
@@ -60,7 +60,7 @@
 
 
 def count_moves(before: ExpertMap, after: ExpertMap) -> int:
-    """Return how many expert weights a rank must load that it did not have."""
+    """Return the number of expert weights that ranks must load for a map change."""
     return sum(
         len(set(new) - set(old))
         for old_layer, new_layer in zip(before.layers, after.layers, strict=True)
@@ -69,7 +69,10 @@
 
 
 def match_ranks(before: LayerMap, after: LayerMap) -> LayerMap:
-    """Give each set of experts to the rank that holds most of it already (greedy, even ranks)."""
+    """Assign each expert set to the rank that already hosts most of it.
+
+    The assignment is greedy and assumes ranks of equal speed.
+    """
     overlaps = sorted(
         (
             (-len(set(old) & set(new)), rank, idx)
@@ -78,11 +81,11 @@
         ),
     )
     matched: dict[int, int] = {}
-    taken: set[int] = set()
+    assigned: set[int] = set()
     for _, rank, idx in overlaps:
-        if rank not in matched and idx not in taken:
+        if rank not in matched and idx not in assigned:
             matched[rank] = idx
-            taken.add(idx)
+            assigned.add(idx)
     return tuple(after[matched[rank]] for rank in range(len(before)))
 
 
@@ -92,9 +95,9 @@
     slots: int,
     speeds: Sequence[float] | None = None,
 ) -> LayerMap:
-    """Place a layer from nothing: replicas for the hottest, then the hottest first.
+    """Build a layer from scratch: replicate the hottest experts, then place by decreasing load.
 
-    Each expert stands once before any stands twice; a rank never holds an expert twice.
+    Every expert is placed once before any is replicated, and never twice on the same rank.
     """
     if len(demand) > ranks * slots:
         raise ValueError(f"{len(demand)} experts do not fit {ranks} ranks of {slots} slots")
@@ -106,13 +109,13 @@
     replicas = [1] * len(demand)
     heap = [(-tokens, expert) for expert, tokens in enumerate(demand)]
     heapq.heapify(heap)
-    spare = ranks * slots - len(demand)
-    while spare and heap:
+    free_slots = ranks * slots - len(demand)
+    while free_slots and heap:
         _, expert = heapq.heappop(heap)
         if replicas[expert] == ranks:
             continue
         replicas[expert] += 1
-        spare -= 1
+        free_slots -= 1
         heapq.heappush(heap, (-demand[expert] / replicas[expert], expert))
     return replicas
 
@@ -124,25 +127,25 @@
     slots: int,
     speeds: Sequence[float],
 ) -> LayerMap:
-    pieces = [
+    replica_loads = [
         (demand[expert] / count, expert)
         for expert, count in enumerate(replicas)
         for _ in range(count)
     ]
-    pieces.sort(reverse=True)
+    replica_loads.sort(reverse=True)
     placed: list[set[int]] = [set() for _ in range(ranks)]
     loads = [0.0] * ranks
-    for load, expert in pieces:
-        rank = _find_rank(placed, loads, speeds, slots, expert)
+    for load, expert in replica_loads:
+        rank = _find_least_loaded(placed, loads, speeds, slots, expert)
         if rank is None:
-            # Only ranks that hold it already have room: the replica is left out.
+            # Only ranks that already host the expert have a free slot: omit the replica.
             continue
         placed[rank].add(expert)
         loads[rank] += load
     return tuple(tuple(sorted(experts)) for experts in placed)
 
 
-def _find_rank(
+def _find_least_loaded(
     placed: Sequence[set[int]],
     loads: Sequence[float],
     speeds: Sequence[float],
--- a/dalehollow/groups/host.py
+++ b/dalehollow/groups/host.py
@@ -1,4 +1,4 @@
-"""Give orders to the engine that runs a rank, and read what it keeps."""
+"""Send orders to the engine that runs a rank, and read its state."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 LoadState = Literal["loading", "loaded", "refused"]
 
 Change = tuple[int, int, int, int]
-"""A layer, a rank, the expert that leaves its slot and the expert that comes."""
+"""A layer, a rank, the expert removed from a slot and the expert added in its place."""
 
 
 @dataclass(frozen=True)
 class RankState:
-    """Hold what an engine tells of one rank; counts are (layer, expert, tokens) since its start."""
+    """Report one rank's state; counts are (layer, expert, tokens) since the engine's start."""
 
     ledger: Ledger
     step_ms: float
@@ -32,7 +32,10 @@
 
 @dataclass(frozen=True)
 class LoadOrder:
-    """Order an engine to load the weights of a map; an older fence than it has seen is refused."""
+    """Order an engine to load the weights of a map.
+
+    The engine refuses a fencing token lower than the highest it has seen.
+    """
 
     fence: int
     base_digest: str
@@ -41,33 +44,33 @@
 
 
 class RankHost(Protocol):
-    """Name what the system needs of an engine that runs a rank; each call may fail as Err(why).
+    """Define the interface of an engine that runs a rank; a failed call returns Err with the cause.
 
-    The engine keeps the ledger: it decides a vote in one step with keeping it, stops before an
-    armed step, and keeps all this when the process beside it is restarted.
+    The engine owns the ledger: it decides and persists a vote atomically, blocks before an armed
+    step, and keeps this state when the sidecar is restarted.
     """
 
     def read(self, rank: int) -> Result[RankState, str]:
         """Read a rank's state."""
 
     def vote(self, rank: int, proposal: Proposal) -> Result[Vote, str]:
-        """Ask for a vote, which the engine keeps."""
+        """Request a vote, which the engine persists."""
 
     def settle(self, rank: int, proposal: Proposal, outcome: Outcome) -> Result[None, str]:
-        """Tell what a proposal came to."""
+        """Report the outcome of a proposal."""
 
     def read_map(self, rank: int) -> Result[ExpertMap, str]:
-        """Read the map that a rank has in force."""
+        """Read the active map of a rank."""
 
     def load(self, rank: int, order: LoadOrder) -> Result[LoadState, str]:
-        """Order weights to be loaded; returns `loading`, `loaded` or `refused`."""
+        """Order weights to be loaded; poll until it returns `loaded` or `refused`."""
 
 
 class HttpRankHost:
-    """Speak to an engine's rank orders over HTTP."""
+    """Call an engine's rank interface over HTTP."""
 
     def __init__(self, address: str) -> None:
-        """Prepare the connections; `address` is host:port."""
+        """Create the HTTP client; `address` is host:port."""
         self._address = address
         self._http = HttpClient(connect_timeout_s=_CONNECT_TIMEOUT_S, max_connections=8)
 
@@ -76,31 +79,33 @@
         return self._call("GET", f"/rank/{rank}/state", None, RankState)
 
     def vote(self, rank: int, proposal: Proposal) -> Result[Vote, str]:
-        """Ask for a vote, which the engine keeps."""
+        """Request a vote, which the engine persists."""
         return self._call("POST", f"/rank/{rank}/vote", proposal, Vote)
 
     def settle(self, rank: int, proposal: Proposal, outcome: Outcome) -> Result[None, str]:
-        """Tell what a proposal came to."""
+        """Report the outcome of a proposal."""
         path = f"/rank/{rank}/settle?outcome={outcome}"
         return self._call("POST", path, proposal, bool).map(lambda _: None)
 
     def read_map(self, rank: int) -> Result[ExpertMap, str]:
-        """Read the map that a rank has in force."""
+        """Read the active map of a rank."""
         return self._call("GET", f"/rank/{rank}/map", None, ExpertMap)
 
     def load(self, rank: int, order: LoadOrder) -> Result[LoadState, str]:
         """Order weights to be loaded."""
         return self._call("POST", f"/rank/{rank}/load", order, LoadState)
 
-    def _call(self, method: str, path: str, body: object, kind: Any) -> Result[Any, str]:
+    def _call(self, method: str, path: str, body: object, reply_type: Any) -> Result[Any, str]:
         data = None if body is None else msgspec.json.encode(body)
-        sent = self._http.call(method, self._address, path, body=data, timeout_s=_CALL_TIMEOUT_S)
-        if isinstance(sent, Err):
-            return Err(sent.err_value.message)
+        response = self._http.call(
+            method, self._address, path, body=data, timeout_s=_CALL_TIMEOUT_S
+        )
+        if isinstance(response, Err):
+            return Err(response.err_value.message)
         try:
-            answer = sent.ok_value.read()
-            if sent.ok_value.status != 200:
-                return Err(f"status {sent.ok_value.status}")
-            return Ok(msgspec.json.decode(answer, type=kind))
+            answer = response.ok_value.read()
+            if response.ok_value.status != 200:
+                return Err(f"engine answered {path} with HTTP status {response.ok_value.status}")
+            return Ok(msgspec.json.decode(answer, type=reply_type))
         except (ConnectionError, msgspec.MsgspecError) as exc:
             return Err(str(exc))
--- a/dalehollow/groups/ranks.py
+++ b/dalehollow/groups/ranks.py
@@ -1,4 +1,4 @@
-"""Name what the system needs of the ranks of a group, whatever speaks to them."""
+"""Define the interface to the ranks of a group, independent of the transport."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from dalehollow.groups.expert_map import LayerMap
 
 GroupMap = tuple[LayerMap, ...]
-"""For each layer and rank, the experts that stand there."""
+"""The experts of each layer and rank."""
 
 
 class OrderReply(enum.StrEnum):
-    """Name what came of an order; an unanswered one may still be carried out, even much later."""
+    """Name the reply to an order; an unanswered order may still be executed, even much later."""
 
     TAKEN = "taken"
     REFUSED = "refused"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class RankReport:
-    """Hold what a rank tells of itself; versions and steps are 0 where there is none."""
+    """Report the state of a rank; versions and steps are 0 where there is none."""
 
     epoch: int
     step: int
@@ -32,15 +32,16 @@
     armed_version: int = 0
     armed_step: int = 0
     held_step: int = 0
-    # How many times longer than usual the rank takes.
+    # Step time as a multiple of the usual one.
     pace: float = 1.0
 
 
 @dataclass(frozen=True)
 class KeptPlan:
-    """Hold what planners and gateways need of the last plan.
+    """Store the part of the last plan that planners and gateways need.
 
-    `demand` is in thousandths of a layer's total; `slow_ranks` get no requests while others can.
+    `demand` is in thousandths of a layer's total. `slow_ranks` get no requests while other ranks
+    have capacity.
     """
 
     demand: tuple[tuple[int, ...], ...]
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True)
 class RankCounts:
-    """Hold how often a rank's requests chose each expert since its start, layer by layer."""
+    """Count the choices of each expert by a rank's requests since its start, per layer."""
 
     epoch: int
     step: int
@@ -57,28 +58,28 @@
 
 
 class RankPort(Protocol):
-    """Give orders to ranks and read them; an order of another epoch is refused."""
+    """Send orders to ranks and read their state; an order of another epoch is refused."""
 
     async def prepare(self, rank: int, version: int, group_map: GroupMap, epoch: int) -> OrderReply:
-        """Copy the weights that a map needs, beside those in use."""
+        """Copy the weights that a map needs, in addition to those in use."""
 
     async def arm(self, rank: int, version: int, step: int, epoch: int) -> OrderReply:
-        """Take a prepared map as a step begins; refused once it has begun."""
+        """Activate a prepared map when a step starts; refused once it has started."""
 
     async def disarm(self, rank: int, version: int, epoch: int) -> OrderReply:
-        """Take back an arm; refused where the map is in use."""
+        """Cancel an arm; refused if the map is already active."""
 
     async def hold(self, rank: int, step: int, epoch: int) -> OrderReply:
-        """Keep the whole group from beginning a step; refused once it has begun."""
+        """Keep the whole group from starting a step; refused once it has started."""
 
     async def release(self, rank: int, step: int, epoch: int) -> OrderReply:
-        """End a hold."""
+        """Release a hold."""
 
     async def read_report(self, rank: int) -> RankReport | None:
-        """Read a rank's report, or None if it did not answer."""
+        """Read a rank's report, or return None if it does not answer."""
 
     async def read_counts(self, rank: int) -> RankCounts | None:
-        """Read a rank's counts, or None if it did not answer."""
+        """Read a rank's counts, or return None if it does not answer."""
 
     async def read_layers(self, rank: int) -> tuple[tuple[int, ...], ...] | None:
-        """Read the experts that stand at a rank, layer by layer, or None if it did not answer."""
+        """Read a rank's experts per layer, or return None if it does not answer."""
--- a/dalehollow/groups/switch.py
+++ b/dalehollow/groups/switch.py
@@ -1,11 +1,11 @@
-"""Switch a group to a prepared map: at every rank as the same step begins, or at none.
-
-The group is held before the step while ranks are armed, so no pass can begin with some of them
-armed and some not. The hold is placed several passes ahead and ends as soon as all have
-answered, so that in the ordinary course nothing waits. An order that got no answer may be
-carried out much later, also one that was repeated and taken; such an arm is harmless once its
-step has begun or once a newer version is prepared there, and that is made sure of at every rank
-before a hold ends without a switch.
+"""Switch a group to a prepared map atomically: all ranks at the start of one step, or none.
+
+The group is held before the step while the ranks are armed, so that no pass can start with only
+some of them armed. The hold is placed several passes ahead and is released as soon as all ranks
+have replied, so that without faults no pass waits for it. An order without a reply may be executed
+much later, even if a repetition of it was accepted in the meantime. A late arm has no effect once
+its step has started or a newer version is prepared on the rank. Before a hold is released without
+a switch, one of the two is ensured on every rank.
 """
 
 from __future__ import annotations
@@ -17,17 +17,15 @@
 
 from dalehollow.groups.ranks import GroupMap, OrderReply, RankPort, RankReport
 
-ORDER_TRIES = 6
-"""An order is repeated so often: with every third answer lost, one in 700 stays without."""
+ORDER_ATTEMPTS = 6
+"""Attempts per order: if a third of the replies is lost, about 1 in 700 orders gets none."""
 RETRY_PAUSE_S = 0.05
-"""Pause before an order is repeated: a rank that is still copying is asked again after it."""
-
-
-REFUSALS_MEAN_BEGUN = 2
+"""Pause after a refusal, which a rank also gives while it is still copying weights."""
+STEP_STARTED_REFUSALS = 2
 
 
 class SwitchOutcome(enum.StrEnum):
-    """Name what a switch came to; after UNRESOLVED the group is still held."""
+    """Name the result of a switch; after UNRESOLVED the group may still be held."""
 
     SWITCHED = "switched"
     TOO_LATE = "too_late"
@@ -37,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Proposal:
-    """Hold a map to switch to, and the step at which; `current` is the map in force."""
+    """Propose to switch to a map version at the start of `step`; `current` is the active map."""
 
     version: int
     step: int
@@ -45,10 +43,15 @@
     current: GroupMap
 
 
-async def _repeat(order: Callable[[], Awaitable[OrderReply]], *, past_refusals: bool) -> OrderReply:
-    """Give an order until it is answered; where wanted, also past refusals."""
+async def _send_order(
+    order: Callable[[], Awaitable[OrderReply]], *, past_refusals: bool
+) -> OrderReply:
+    """Send an order up to ORDER_ATTEMPTS times.
+
+    Stops when it is accepted or, without `past_refusals`, when it is refused.
+    """
     reply = OrderReply.UNANSWERED
-    for _ in range(ORDER_TRIES):
+    for _ in range(ORDER_ATTEMPTS):
         reply = await order()
         is_final = reply is OrderReply.REFUSED and not past_refusals
         if reply is OrderReply.TAKEN or is_final:
@@ -59,19 +62,19 @@
 
 
 async def switch_map(port: RankPort, ranks: Sequence[int], proposal: Proposal) -> SwitchOutcome:
-    """Switch all ranks to a map that they have been told to prepare.
+    """Switch all ranks to a map that they have been ordered to prepare.
 
-    Nothing here asks whether the duty is still held: a planner whose time is over in the middle
-    can do no harm, since its successor holds the group by itself (`settle_switch`).
+    The planner lease is not checked here: a planner that loses it midway does no harm, because its
+    successor places a hold of its own on the group (`settle_switch`).
     """
-    holders, is_held, is_begun = await _hold(port, ranks, proposal)
+    holders, is_held, has_started = await _hold(port, ranks, proposal)
     if not is_held:
         await _release(port, holders, proposal)
-        return SwitchOutcome.TOO_LATE if is_begun else SwitchOutcome.ABANDONED
+        return SwitchOutcome.TOO_LATE if has_started else SwitchOutcome.ABANDONED
     replies = await asyncio.gather(*(_arm(port, rank, proposal) for rank in ranks))
     outcome = SwitchOutcome.SWITCHED
     if any(reply is not OrderReply.TAKEN for reply in replies):
-        if not await _take_back(port, ranks, proposal):
+        if not await _disarm_all(port, ranks, proposal):
             return SwitchOutcome.UNRESOLVED
         outcome = SwitchOutcome.ABANDONED
     if not await _release(port, holders, proposal):
@@ -82,11 +85,11 @@
 async def settle_switch(
     port: RankPort, reports: dict[int, RankReport], current: GroupMap, next_version: int
 ) -> bool:
-    """Take back what another planner left behind; return whether nothing is left open.
+    """Abort another planner's unfinished switch; return whether nothing of it remains.
 
-    That planner may only be paused and may go on at any moment. So the group is first held at a
-    rank of its own choice, which the other's release does not end; then no arm is left anywhere
-    and none can be given any more.
+    The other planner may only be paused and may resume at any moment. The group is therefore first
+    held on a rank that the other planner does not hold, so that its release does not end this hold.
+    Then all ranks are disarmed and prepared with a newer version, so that none can be armed again.
     """
     armed = [r for r in reports.values() if r.armed_version]
     holders = [rank for rank, r in reports.items() if r.held_step]
@@ -96,12 +99,12 @@
     step = max([r.armed_step for r in armed] + [reports[rank].held_step for rank in holders])
     version = max((r.armed_version for r in armed), default=next_version - 1)
     proposal = Proposal(version, step, epoch, current)
-    # The other planner holds at the first rank that takes its order: begin from the last.
+    # The other planner places its hold on the first rank that accepts it, so start from the last.
     free = [rank for rank in sorted(reports, reverse=True) if rank not in holders]
-    own_holders, is_held, is_begun = await _hold(port, free, proposal)
-    if not is_held and not is_begun:
+    own_holders, is_held, has_started = await _hold(port, free, proposal)
+    if not is_held and not has_started:
         return False
-    if is_held and not await _take_back(port, sorted(reports), proposal, next_version):
+    if is_held and not await _disarm_all(port, sorted(reports), proposal, next_version):
         return False
     return await _release(port, [*own_holders, *holders], proposal)
 
@@ -109,15 +112,18 @@
 async def _hold(
     port: RankPort, ranks: Sequence[int], proposal: Proposal
 ) -> tuple[list[int], bool, bool]:
-    """Hold the group at some rank; return the ranks that may hold it, and how it went."""
+    """Place a hold on one rank.
+
+    Returns the ranks that may hold the group, whether it is held, and whether the step has started.
+    """
     holders: list[int] = []
     refused = 0
     for rank in ranks:
         reply = await port.hold(rank, proposal.step, proposal.epoch)
         if reply is OrderReply.REFUSED:
-            # The step has begun, unless this one rank is held for another planner.
+            # The step has started, unless only this rank refuses because another planner holds it.
             refused += 1
-            if refused == REFUSALS_MEAN_BEGUN:
+            if refused == STEP_STARTED_REFUSALS:
                 return holders, False, True
             continue
         holders.append(rank)
@@ -127,32 +133,34 @@
 
 
 async def _arm(port: RankPort, rank: int, proposal: Proposal) -> OrderReply:
-    return await _repeat(
+    return await _send_order(
         lambda: port.arm(rank, proposal.version, proposal.step, proposal.epoch),
         past_refusals=True,
     )
 
 
-async def _take_back(
+async def _disarm_all(
     port: RankPort, ranks: Sequence[int], proposal: Proposal, next_version: int = 0
 ) -> bool:
-    """Disarm all ranks and make late arms harmless; return whether all is sure."""
-    newer = max(next_version, proposal.version + 1)
-    sure = await asyncio.gather(*(_take_back_at(port, rank, proposal, newer) for rank in ranks))
-    return all(sure)
+    """Disarm all ranks and invalidate late arms; return whether all ranks confirmed it."""
+    newer_version = max(next_version, proposal.version + 1)
+    confirmed = await asyncio.gather(
+        *(_disarm_rank(port, rank, proposal, newer_version) for rank in ranks)
+    )
+    return all(confirmed)
 
 
-async def _take_back_at(port: RankPort, rank: int, proposal: Proposal, newer: int) -> bool:
-    """Disarm a rank until it has prepared a newer version, after which no arm can be carried out.
+async def _disarm_rank(port: RankPort, rank: int, proposal: Proposal, newer_version: int) -> bool:
+    """Disarm a rank until it has prepared a newer version, which rules out late arms.
 
-    An arm that was repeated may be carried out once more between the two orders.
+    The two orders are repeated together, because a repeated arm may be executed between them.
     """
-    for _ in range(ORDER_TRIES):
-        await _repeat(
+    for _ in range(ORDER_ATTEMPTS):
+        await _send_order(
             lambda: port.disarm(rank, proposal.version, proposal.epoch), past_refusals=False
         )
-        reply = await _repeat(
-            lambda: port.prepare(rank, newer, proposal.current, proposal.epoch),
+        reply = await _send_order(
+            lambda: port.prepare(rank, newer_version, proposal.current, proposal.epoch),
             past_refusals=False,
         )
         if reply is OrderReply.TAKEN:
@@ -161,10 +169,10 @@
 
 
 async def _release(port: RankPort, holders: Sequence[int], proposal: Proposal) -> bool:
-    """End the holds; a release that is refused finds none, or another epoch."""
+    """Release the holds; a refusal means that there is no such hold or another epoch."""
     replies = await asyncio.gather(
         *(
-            _repeat(
+            _send_order(
                 lambda rank=rank: port.release(rank, proposal.step, proposal.epoch),  # type: ignore[misc]
                 past_refusals=False,
             )
--- a/dalehollow/groups/voter.py
+++ b/dalehollow/groups/voter.py
@@ -1,8 +1,8 @@
-"""Carry votes between the gates of a group's ranks until each proposal is settled.
+"""Exchange votes between the sidecars of a group's ranks until each proposal is decided.
 
-A gate that let its engine vote yes asks every other rank, again and again, until all have said
-yes or one has said no, and tells its engine. It needs no planner for that: a planner that dies
-after the first vote leaves a proposal that the gates settle among themselves.
+A sidecar whose engine voted yes polls every other rank until all have voted yes or one has voted
+no, and passes the outcome to its engine. This needs no planner: if the planner fails after the
+first vote, the sidecars decide the proposal among themselves.
 """
 
 from __future__ import annotations
@@ -15,85 +15,88 @@
 from result import Ok, Result
 
 from dalehollow.groups.host import RankHost
-from dalehollow.groups.votes import Outcome, Proposal, Vote, settle
+from dalehollow.groups.votes import Outcome, Proposal, Vote, tally_votes
 from dalehollow.telemetry.logs import log_event
 
 RETRY_INTERVAL_S = 0.02
 _log = logging.getLogger(__name__)
 
 AskPeer = Callable[[int, Proposal], Result[Vote, str]]
-"""Ask another rank's gate for its vote; fails as Err(why) when it cannot be reached."""
+"""Request another rank's vote from its sidecar; returns Err with the cause if unreachable."""
 
 
 @dataclass
 class RankVoter:
-    """Hold one rank's part in the votes of its group."""
+    """Take part in the votes of a group on behalf of one rank."""
 
     group: str
     rank: int
     ranks: int
     host: RankHost
     ask_peer: AskPeer
-    settled: dict[str, int] = field(default_factory=lambda: {"commit": 0, "abort": 0})
-    _open: dict[Proposal, threading.Thread] = field(default_factory=dict)
+    outcome_counts: dict[str, int] = field(default_factory=lambda: {"commit": 0, "abort": 0})
+    _undecided: dict[Proposal, threading.Thread] = field(default_factory=dict)
     _stopping: threading.Event = field(default_factory=threading.Event)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def resume(self) -> None:
-        """Take up the proposal that the engine is armed for, after a restart."""
+        """Resume the proposal that the engine is armed for after a restart of this process."""
         state = self.host.read(self.rank)
         if isinstance(state, Ok) and state.ok_value.ledger.armed is not None:
-            self._begin_settling(state.ok_value.ledger.armed)
+            self._start_polling(state.ok_value.ledger.armed)
 
     def vote(self, proposal: Proposal) -> Vote:
-        """Let the engine vote, and see to it that a yes is settled."""
-        asked = self.host.vote(self.rank, proposal)
-        if not isinstance(asked, Ok):
+        """Let the engine vote, and poll the other ranks for the outcome if it votes yes."""
+        answer = self.host.vote(self.rank, proposal)
+        if not isinstance(answer, Ok):
             return Vote.PENDING
-        if asked.ok_value is Vote.YES:
-            self._begin_settling(proposal)
-        return asked.ok_value
+        if answer.ok_value is Vote.YES:
+            self._start_polling(proposal)
+        return answer.ok_value
 
     def stop(self) -> None:
-        """Stop settling; the engine keeps what is open."""
+        """Stop polling; the engine keeps undecided proposals."""
         self._stopping.set()
 
-    def _begin_settling(self, proposal: Proposal) -> None:
+    def _start_polling(self, proposal: Proposal) -> None:
         with self._lock:
-            if proposal in self._open:
+            if proposal in self._undecided:
                 return
             thread = threading.Thread(
-                target=self._settle, args=(proposal,), name=f"settle-{self.rank}", daemon=True
+                target=self._poll_until_decided,
+                args=(proposal,),
+                name=f"settle-{self.rank}",
+                daemon=True,
             )
-            self._open[proposal] = thread
+            self._undecided[proposal] = thread
             thread.start()
 
-    def _settle(self, proposal: Proposal) -> None:
+    def _poll_until_decided(self, proposal: Proposal) -> None:
         votes: dict[int, Vote] = {self.rank: Vote.YES}
         while not self._stopping.is_set():
-            self._ask_missing(proposal, votes)
-            outcome = settle(votes, self.ranks)
-            if outcome is not Outcome.OPEN and self._tell_engine(proposal, outcome):
+            self._request_missing_votes(proposal, votes)
+            outcome = tally_votes(votes, self.ranks)
+            if outcome is not Outcome.OPEN and self._report_outcome(proposal, outcome):
                 break
             self._stopping.wait(RETRY_INTERVAL_S)
         with self._lock:
-            self._open.pop(proposal, None)
+            self._undecided.pop(proposal, None)
 
-    def _ask_missing(self, proposal: Proposal, votes: dict[int, Vote]) -> None:
+    def _request_missing_votes(self, proposal: Proposal, votes: dict[int, Vote]) -> None:
         for rank in range(self.ranks):
             if votes.get(rank, Vote.PENDING) is not Vote.PENDING:
                 continue
-            asked = self.ask_peer(rank, proposal)
-            if isinstance(asked, Ok):
-                votes[rank] = asked.ok_value
+            answer = self.ask_peer(rank, proposal)
+            if isinstance(answer, Ok):
+                votes[rank] = answer.ok_value
             if votes.get(rank) is Vote.NO:
                 return
 
-    def _tell_engine(self, proposal: Proposal, outcome: Outcome) -> bool:
-        told = self.host.settle(self.rank, proposal, outcome)
-        if not isinstance(told, Ok):
+    def _report_outcome(self, proposal: Proposal, outcome: Outcome) -> bool:
+        reported = self.host.settle(self.rank, proposal, outcome)
+        if not isinstance(reported, Ok):
             return False
-        self.settled[outcome] += 1
+        self.outcome_counts[outcome] += 1
         log_event(
             _log,
             "map_settled",
@@ -108,8 +111,8 @@
 
 
 def count_outcomes(voters: Mapping[int, RankVoter]) -> dict[str, int]:
-    """Add up what the proposals came to at these ranks."""
+    """Sum the outcomes of proposals over these ranks."""
     return {
-        outcome: sum(voter.settled[outcome] for voter in voters.values())
+        outcome: sum(voter.outcome_counts[outcome] for voter in voters.values())
         for outcome in ("commit", "abort")
     }
--- a/dalehollow/groups/votes.py
+++ b/dalehollow/groups/votes.py
@@ -1,9 +1,9 @@
-"""Decide, rank by rank, whether a proposed expert map comes into force at a step.
+"""Decide by an atomic commit among the ranks whether a proposed expert map becomes active.
 
-A map is in force from its step on if and only if every rank voted yes. A vote, once given, is
-kept by the rank's engine and never changes, so it does not matter who asks, how often, or how
-late an answer comes. An engine that voted yes stops before the step until the outcome is known;
-as ranks advance in lock-step, a missing rank would stop the group at that point anyway.
+A map is active from its step on if and only if every rank voted yes. The rank's engine persists a
+vote, which never changes, so requests may come from anyone, any number of times, and answers may
+arrive late. An engine that voted yes blocks before the step until the outcome is known. Ranks
+advance in lock-step, so a missing rank would block the group at that point in any case.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Vote(enum.StrEnum):
-    """Name a rank's answer; PENDING is no vote: an earlier proposal must be settled first."""
+    """Name a rank's answer; PENDING is no vote: an earlier proposal must be decided first."""
 
     YES = "yes"
     NO = "no"
@@ -22,7 +22,7 @@
 
 
 class SwitchStep(enum.StrEnum):
-    """Name the steps of a switch at which something can go wrong, in their order."""
+    """Name the steps of a switch at which faults can be injected, in their order."""
 
     READ = "read"
     LOAD = "load"
@@ -33,7 +33,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """Name what a set of votes comes to."""
+    """Name the outcome of a set of votes; OPEN is undecided."""
 
     COMMIT = "commit"
     ABORT = "abort"
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, order=True)
 class ProposalId:
-    """Order proposals: the planner's fence first, then its own count."""
+    """Order proposals by the planner's fencing token, then by its sequence number."""
 
     fence: int
     sequence: int
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Proposal:
-    """Propose a map that follows `base_version`, to be in force from `switch_step` on."""
+    """Propose a map to succeed `base_version` and to be active from `switch_step` on."""
 
     id: ProposalId
     base_version: int
@@ -63,10 +63,10 @@
 
 @dataclass(frozen=True)
 class Ledger:
-    """Hold what a rank's engine keeps: its maps, the next step and its votes.
+    """Hold the state that a rank's engine persists: its maps, the next step and its votes.
 
-    `armed` is the proposal voted yes and not yet settled; `committed` the last one settled so,
-    whose map is `map_digest`; until its step comes, `previous_digest` is in force.
+    `armed` is a proposal with a yes vote and no outcome yet. `committed` is the last committed
+    proposal, whose map is `map_digest`; until its step, the map of `previous_digest` is active.
     """
 
     step: int = 0
@@ -81,7 +81,7 @@
 def decide_vote(
     ledger: Ledger, proposal: Proposal, *, is_loaded: bool = True
 ) -> tuple[Ledger, Vote]:
-    """Vote on a proposal; the ledger returned must be kept before the vote is told."""
+    """Vote on a proposal; the returned ledger must be persisted before the vote is sent."""
     if ledger.armed is not None and proposal.id == ledger.armed.id:
         return ledger, Vote.YES
     if ledger.committed is not None and proposal.id == ledger.committed.id:
@@ -91,20 +91,20 @@
     if ledger.armed is not None:
         return ledger, Vote.PENDING
     refused = replace(ledger, highest=proposal.id)
-    follows = proposal.base_version == ledger.version
-    is_early = ledger.step < proposal.switch_step and not is_switching(ledger)
-    if not (follows and is_early and is_loaded):
+    has_current_base = proposal.base_version == ledger.version
+    is_before_switch = ledger.step < proposal.switch_step and not is_switching(ledger)
+    if not (has_current_base and is_before_switch and is_loaded):
         return refused, Vote.NO
     return replace(refused, armed=proposal), Vote.YES
 
 
 def is_switching(ledger: Ledger) -> bool:
-    """Return whether a committed map is still to come into force."""
+    """Return whether a committed map is not active yet."""
     return ledger.committed is not None and ledger.step < ledger.committed.switch_step
 
 
-def settle(votes: Mapping[int, Vote], ranks: int) -> Outcome:
-    """Return what the votes known so far come to."""
+def tally_votes(votes: Mapping[int, Vote], ranks: int) -> Outcome:
+    """Return the outcome of the votes known so far."""
     known = votes.values()
     if any(vote is Vote.NO for vote in known):
         return Outcome.ABORT
@@ -114,7 +114,7 @@
 
 
 def apply_outcome(ledger: Ledger, proposal: Proposal, outcome: Outcome) -> Ledger:
-    """Settle the armed proposal; any other proposal leaves the ledger as it is."""
+    """Apply the outcome of the armed proposal; any other proposal leaves the ledger unchanged."""
     if ledger.armed is None or ledger.armed.id != proposal.id or outcome is Outcome.OPEN:
         return ledger
     if outcome is Outcome.ABORT:
@@ -130,7 +130,7 @@
 
 
 def may_enter(ledger: Ledger) -> bool:
-    """Return whether the engine may begin its next step: not with its map undecided."""
+    """Return whether the engine may start its next step, whose map must be decided."""
     return ledger.armed is None or ledger.step < ledger.armed.switch_step
 
 
--- a/tests/test_switch_map.py
+++ b/tests/test_switch_map.py
@@ -193,7 +193,7 @@
     async def pretend(*args: object) -> bool:
         return True
 
-    monkeypatch.setattr(switch, "_take_back", pretend)
+    monkeypatch.setattr(switch, "_disarm_all", pretend)
     with pytest.raises(MapsDifferError):
         for seed in range(WORLDS):
             _play(seed)
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -19,7 +19,7 @@
     decide_vote,
     digest_in_step,
     may_enter,
-    settle,
+    tally_votes,
 )
 
 LAST_STEP = 4
@@ -86,7 +86,7 @@
     if any(vote is Vote.NO for _, vote in told):
         yield _put(world, rank, apply_outcome(ledger, proposal, Outcome.ABORT))
     yes = {voter: vote for voter, vote in told if vote is Vote.YES}
-    if settle(yes, len(world.ledgers)) is Outcome.COMMIT or (fault == "no_vote" and yes):
+    if tally_votes(yes, len(world.ledgers)) is Outcome.COMMIT or (fault == "no_vote" and yes):
         yield _put(world, rank, apply_outcome(ledger, proposal, Outcome.COMMIT))
 
 
@@ -130,7 +130,7 @@
 
 
 def test_a_silent_rank_leaves_it_open() -> None:
-    assert settle({0: Vote.YES, 1: Vote.YES}, 3) is Outcome.OPEN
+    assert tally_votes({0: Vote.YES, 1: Vote.YES}, 3) is Outcome.OPEN
 
 
 def test_vote_never_changes() -> None:
