--- a/dalehollow/limits/__init__.py
+++ b/dalehollow/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Bound what reaches an upstream and what one client account may use."""
+"""Limit the requests to an upstream and the request rate of a client account."""
 
 from __future__ import annotations
 
--- a/dalehollow/limits/bucket.py
+++ b/dalehollow/limits/bucket.py
@@ -10,7 +10,7 @@
 
 @dataclass
 class TokenBucket:
-    """Hold the tokens of one limit; times are monotonic seconds."""
+    """Refill tokens at a constant rate up to a burst; times are monotonic seconds."""
 
     rate_per_s: float
     burst: float
@@ -19,23 +19,23 @@
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def take(self, now_s: float) -> int:
-        """Take one token and return 0, or return the milliseconds until there is one."""
+        """Take one token and return 0, or return the milliseconds until one is available."""
         with self._lock:
-            self._fill(now_s)
+            self._refill(now_s)
             if self._tokens >= 1:
                 self._tokens -= 1
                 return 0
             return max(1, round((1 - self._tokens) / self.rate_per_s * MS_PER_S))
 
     def resize(self, rate_per_s: float, burst: float, now_s: float) -> None:
-        """Change the limit; tokens already gathered count on, up to the new burst."""
+        """Change the limit; accumulated tokens are kept, up to the new burst."""
         with self._lock:
-            self._fill(now_s)
+            self._refill(now_s)
             self.rate_per_s = rate_per_s
             self.burst = burst
             self._tokens = min(self._tokens, burst)
 
-    def _fill(self, now_s: float) -> None:
+    def _refill(self, now_s: float) -> None:
         if self._tokens < 0:
             self._tokens = self.burst
         elapsed_s = max(0.0, now_s - self._filled_at_s)
--- a/dalehollow/limits/budget.py
+++ b/dalehollow/limits/budget.py
@@ -1,4 +1,4 @@
-"""Bound retries to a share of first tries, so that a failing pool is not flooded."""
+"""Limit retries to a share of first attempts, so that they do not overload a failing pool."""
 
 from __future__ import annotations
 
@@ -6,31 +6,34 @@
 from dataclasses import dataclass, field
 
 DEFAULT_RETRY_SHARE = 0.1
-DEFAULT_RESERVE = 3.0
+DEFAULT_MAX_BALANCE = 3.0
 
 
 @dataclass
 class RetryBudget:
-    """Hold one account's budget: each first try adds a share, each retry takes one."""
+    """Budget an account's retries.
+
+    A first attempt adds `share` to the balance, up to `max_balance`; a retry takes one.
+    """
 
     share: float = DEFAULT_RETRY_SHARE
-    reserve: float = DEFAULT_RESERVE
+    max_balance: float = DEFAULT_MAX_BALANCE
     _balance: float = -1.0
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def record_first_try(self) -> None:
-        """Add the share that one first try earns."""
+        """Add the share earned by one first attempt."""
         with self._lock:
-            self._balance = min(self.reserve, self._current() + self.share)
+            self._balance = min(self.max_balance, self._current_balance() + self.share)
 
     def take_retry(self) -> bool:
-        """Take one retry if the budget has it."""
+        """Take one retry from the budget; return False if it is exhausted."""
         with self._lock:
-            balance = self._current()
+            balance = self._current_balance()
             if balance < 1:
                 return False
             self._balance = balance - 1
             return True
 
-    def _current(self) -> float:
-        return self.reserve if self._balance < 0 else self._balance
+    def _current_balance(self) -> float:
+        return self.max_balance if self._balance < 0 else self._balance
--- a/dalehollow/routing/__init__.py
+++ b/dalehollow/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choose the upstream for each request."""
+"""Choose an upstream for each request."""
 
 from __future__ import annotations
 
--- a/dalehollow/routing/choice.py
+++ b/dalehollow/routing/choice.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """Hold an upstream's load as its sidecar last told it."""
+    """Hold an upstream's load as last reported by its sidecar."""
 
     running: int
     waiting: int
@@ -22,9 +22,9 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """Hold what an entry knows of one upstream.
+    """Describe one upstream as known to an entry.
 
-    `sent_since` counts this entry's own requests that the report cannot yet include.
+    `sent_since` counts this entry's own requests that the load report does not include yet.
     """
 
     name: str
@@ -35,18 +35,18 @@
 
 
 def expected_wait_ms(candidate: Candidate) -> float:
-    """Return the expected time until a request sent now would begin to be answered."""
+    """Return the expected time to first token of a request sent now."""
     report = candidate.report or LoadReport(0, 0, 1, UNKNOWN_SERVICE_MS)
     service_ms = report.service_ms or UNKNOWN_SERVICE_MS
     backlog = report.running + report.waiting + candidate.sent_since
-    ahead = max(0, backlog + 1 - report.slots)
-    # Below the slot bound a fuller batch still costs a little; it spreads work over idle ones.
-    crowding_ms = service_ms * min(1.0, backlog / report.slots) * 0.1
-    queue_ms = ahead * service_ms / report.slots
-    return candidate.distance_ms + candidate.prefill_ms + queue_ms + crowding_ms
+    queued_ahead = max(0, backlog + 1 - report.slots)
+    # A fuller batch is slightly slower even with free slots; this term favours idle upstreams.
+    batching_ms = service_ms * min(1.0, backlog / report.slots) * 0.1
+    queue_ms = queued_ahead * service_ms / report.slots
+    return candidate.distance_ms + candidate.prefill_ms + queue_ms + batching_ms
 
 
 def choose(candidates: Sequence[Candidate], rng: random.Random) -> Candidate:
-    """Choose the best of a few candidates drawn at random, so that entries do not herd."""
-    drawn = candidates if len(candidates) <= SAMPLE_SIZE else rng.sample(candidates, SAMPLE_SIZE)
-    return min(drawn, key=lambda c: (expected_wait_ms(c), rng.random()))
+    """Choose the best of `SAMPLE_SIZE` random candidates, to avoid herding among entries."""
+    sampled = candidates if len(candidates) <= SAMPLE_SIZE else rng.sample(candidates, SAMPLE_SIZE)
+    return min(sampled, key=lambda c: (expected_wait_ms(c), rng.random()))
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -12,7 +12,7 @@
 from dalehollow.entry import EntryProcess
 from dalehollow.entry.shares import ShareKeeper, held_shares
 from dalehollow.limits import Allocator, ShareAsk, fair_shares
-from dalehollow.limits.shares import GONE_AFTER_S
+from dalehollow.limits.shares import REMOVAL_DELAY_S
 from dalehollow.platform.vms import Vm
 from dalehollow.protocol import AskShares, Shares
 from dalehollow.settings import Settings
@@ -111,7 +111,7 @@
     held = allocator.answer(ShareAsk("a", 0.0, 500.0), ("a", "b"), 0.0)
     assert allocator.answer(ShareAsk("b", 0.0, 500.0), ("a", "b"), 0.0) == pytest.approx(50.0)
     assert allocator.answer(ShareAsk("a", held, 500.0), ("a",), 1.0) == pytest.approx(50.0)
-    later_s = 1.0 + GONE_AFTER_S
+    later_s = 1.0 + REMOVAL_DELAY_S
     assert allocator.answer(ShareAsk("a", held, 500.0), ("a",), later_s) == pytest.approx(100.0)
 
 
