--- a/dalehollow/gateway/admit.py
+++ b/dalehollow/gateway/admit.py
@@ -1,4 +1,4 @@
-"""Check a caller's request against the routing table and turn it into a job."""
+"""Validate a request against the routing table."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 _ROUTE_PRIORITIES = 3
 _DEFAULT_PRIORITY = 5
 NOT_READY_RETRY_AFTER_S = 0.5
-"""Time after which a process that has just started usually knows its configuration."""
+"""Usual time for a process that has just started to load its configuration."""
 
 
 @dataclass(frozen=True)
 class Job:
-    """Hold one admitted request; `give_up_at_s` is on this process's monotonic clock.
+    """Describe a valid request; `deadline_s` is on this process's monotonic clock.
 
-    `caller_left_s` is what the caller said it would wait, before the route's bound.
+    `caller_time_left_s` is the caller's own timeout, not limited by that of the route.
     """
 
     request: CallerRequest
@@ -33,15 +33,15 @@
     account: str
     priority: int
     began_at_s: float
-    give_up_at_s: float
-    caller_left_s: float
+    deadline_s: float
+    caller_time_left_s: float
     table_version: int
     expected_tokens: int
 
 
 @dataclass(frozen=True)
 class Refusal:
-    """Hold why a request is refused: it has not run, and will not."""
+    """Describe why a request is refused before it is sent to any upstream."""
 
     status: int
     reason: str
@@ -54,7 +54,7 @@
     names: HeaderNames,
     rng: random.Random,
 ) -> Job | Refusal:
-    """Return the job that a request asks for, or why it gets none."""
+    """Validate a request and return its job, or the reason for refusing it."""
     if table is None:
         status = HTTPStatus.SERVICE_UNAVAILABLE
         return Refusal(status, "no_configuration", NOT_READY_RETRY_AFTER_S)
@@ -81,8 +81,8 @@
         account=holder.account if holder is not None else "",
         priority=_combine_priority(holder, route),
         began_at_s=request.began_at_s,
-        give_up_at_s=request.began_at_s + allowed_ms / _MS_PER_S,
-        caller_left_s=time_left_ms / _MS_PER_S,
+        deadline_s=request.began_at_s + allowed_ms / _MS_PER_S,
+        caller_time_left_s=time_left_ms / _MS_PER_S,
         table_version=table.version,
         expected_tokens=_read_expected_tokens(request, names),
     )
@@ -96,7 +96,7 @@
 
 
 def _read_time_left_ms(request: CallerRequest, names: HeaderNames) -> float | None:
-    """Return what the caller will wait, unbounded where it does not say, None if unreadable."""
+    """Return the caller's timeout: infinite if not given, None if it cannot be parsed."""
     value = request.get(names.time_left_ms)
     if value is None:
         return float("inf")
@@ -104,7 +104,7 @@
 
 
 def _read_expected_tokens(request: CallerRequest, names: HeaderNames) -> int:
-    """Return how many tokens the caller guesses, no more than it allows; 0 if it does not say."""
+    """Return the answer length hint limited to the caller's maximum, 0 if there is no hint."""
     hint = request.get(names.length_hint) or b""
     allowed = (request.get(names.token_counts) or b"").rpartition(b",")[2].strip()
     figures = [int(value) for value in (hint, allowed) if value.isdigit()]
@@ -112,7 +112,7 @@
 
 
 def _combine_priority(holder: KeyHolder | None, route: Route) -> int:
-    """Order by the account first and the route second, within the range that engines take."""
+    """Rank by account first and route second, within the range that engines accept."""
     account = holder.priority if holder is not None else _DEFAULT_PRIORITY
     within = min(route.priority, _ROUTE_PRIORITIES - 1)
     return max(0, min(_MAX_PRIORITY, account * _ROUTE_PRIORITIES + within))
--- a/dalehollow/gateway/attempt.py
+++ b/dalehollow/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""Send a job to one upstream and read the head of its answer."""
+"""Send a request to one upstream and read the head of the answer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """Hold an answer of an upstream that ran the request."""
+    """Hold the answer of an upstream that executed the request, with its body yet unread."""
 
     connection: ClientConnection
     head: AnswerHead
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True)
 class NotRun:
-    """Hold that an upstream surely did not run the request, and why.
+    """Describe why a request is known not to have been executed.
 
-    `is_group_broken` says that the refusal is about another rank of its group. Without an answer of
-    the upstream's own there are no signals.
+    `is_group_broken` is set if the upstream refused because of a failed rank of its group.
+    `signals` is None unless the upstream itself answered.
     """
 
     reason: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class MayHaveRun:
-    """Hold that nobody can tell whether the request ran."""
+    """Describe why it is unknown whether a request was executed."""
 
     reason: str
     signals: None = None
@@ -53,12 +53,12 @@
 def make_request_head(
     job: Job, upstream: Upstream, names: HeaderNames, resume_after: bytes | None, now_s: float
 ) -> bytes:
-    """Return the head of the request for an upstream: the caller's, less what is set here."""
+    """Return the caller's request head with hop-by-hop and gateway headers replaced."""
     request = job.request
     dropped = HOP_HEADERS | names.set_here() | _named_in_connection(request.get(b"connection"))
     if resume_after is not None:
         dropped |= {names.last_event_id}
-    left_ms = max(1, round((job.give_up_at_s - now_s) * _MS_PER_S))
+    left_ms = max(1, round((job.deadline_s - now_s) * _MS_PER_S))
     lines = [request.method + b" " + request.target + b" HTTP/1.1"]
     lines += [k + b": " + v for k, v in request.headers if k not in dropped]
     lines.append(names.time_left_ms + b": %d" % left_ms)
@@ -82,9 +82,9 @@
     connect_timeout_s: float,
     move: Move,
 ) -> AttemptResult:
-    """Send a job on a connection of its own and wait for the head of its answer.
+    """Send a request on a new connection and wait for the head of the answer.
 
-    `move` gets the connection, so that the try can be broken off from outside.
+    The connection is stored in `move` so that other tasks can abort the attempt.
     """
     try:
         connection = await connect(upstream.listed.address, connect_timeout_s)
@@ -111,7 +111,7 @@
 
 
 async def _read_own_head(connection: ClientConnection, job: Job, names: HeaderNames) -> AnswerHead:
-    """Return the head of the answer to this request, passing over one to another request."""
+    """Return the head of the answer to this request, skipping answers with another request ID."""
     while True:
         head = await connection.read_head()
         answered_id = head.get(names.request_id)
--- a/dalehollow/gateway/exchange.py
+++ b/dalehollow/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""Serve one request: admit it, try upstreams for it, and relay an answer."""
+"""Serve one request: admit it, send it to upstreams until one answers, and relay the answer."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 async def serve_request(
     state: GatewayState, caller: CallerConnection, request: CallerRequest
 ) -> None:
-    """Answer one request."""
+    """Validate, admit and proxy one request."""
     admitted = admit(request, state.table, state.names, state.rng)
     if isinstance(admitted, Refusal):
         outcome.refuse(state, caller, request, admitted)
@@ -41,17 +41,17 @@
         return
     progress = Progress()
     try:
-        async with asyncio.timeout_at(admitted.give_up_at_s):
+        async with asyncio.timeout_at(admitted.deadline_s):
             await _Exchange(state, caller, admitted, progress).run()
     except TimeoutError:
-        outcome.end_late(state, caller, admitted, progress)
+        outcome.end_timed_out(state, caller, admitted, progress)
     except asyncio.CancelledError:
-        outcome.note_left(state, admitted, progress)
+        outcome.note_caller_left(state, admitted, progress)
         raise
 
 
 class _Exchange:
-    """Carry one admitted request through its tries."""
+    """Run the attempts of one admitted request."""
 
     def __init__(
         self, state: GatewayState, caller: CallerConnection, job: Job, progress: Progress
@@ -62,18 +62,18 @@
         self._progress = progress
         self._clock = asyncio.get_running_loop().time
         self._sent_at_s = 0.0
-        # Time at which a retry was taken from the budget and not yet sent, if any.
+        # Time at which a retry was taken from the budget, while it has not been sent.
         self._retry_taken_at_s: float | None = None
 
     async def run(self) -> None:
-        """Try upstreams until one answers or no other try is allowed."""
+        """Attempt the request until an upstream answers or no further attempt is allowed."""
         try:
-            await self._run_tries()
+            await self._run_attempts()
         finally:
             if self._retry_taken_at_s is not None:
                 self._state.retry_window(self._job.service).give_back(self._retry_taken_at_s)
 
-    async def _run_tries(self) -> None:
+    async def _run_attempts(self) -> None:
         admission = self._state.admission(self._job.service)
         while True:
             began_s = self._clock()
@@ -81,19 +81,21 @@
             self._progress.waited_s += self._clock() - began_s
             if isinstance(place, NoPlace):
                 return self._give_up(place.reason, place.retry_after_s)
-            self._note_place(place)
+            self._note_chosen(place)
             self._state.on_change()
             try:
-                is_done = await self._try_one(place)
+                is_done = await self._run_attempt(place)
             finally:
                 admission.give_back(place)
                 self._state.on_change()
             if is_done:
                 return None
-            if self._retry_taken_at_s is None and not self._may_repeat():
-                return self._give_up("no_try_left", admission.suggest_return_s(self._make_turn()))
+            if self._retry_taken_at_s is None and not self._take_retry():
+                return self._give_up(
+                    "no_try_left", admission.suggest_retry_after_s(self._make_turn())
+                )
 
-    def _note_place(self, upstream: Upstream) -> None:
+    def _note_chosen(self, upstream: Upstream) -> None:
         progress = self._progress
         progress.tried.append(upstream.listed.incarnation)
         progress.load = upstream.load(self._clock())
@@ -107,17 +109,19 @@
             route=job.route.name,
             priority=job.priority,
             objective_s=job.route.objective_ms / _MS_PER_S,
-            left_s=job.give_up_at_s - self._clock(),
-            caller_left_s=job.caller_left_s,
-            run_s=self._state.expected_run_s(job.service, job.expected_tokens, events),
+            time_left_s=job.deadline_s - self._clock(),
+            caller_time_left_s=job.caller_time_left_s,
+            expected_duration_s=self._state.expected_run_s(
+                job.service, job.expected_tokens, events
+            ),
         )
 
-    async def _try_one(self, upstream: Upstream) -> bool:
-        """Try one upstream; return whether the request is over."""
+    async def _run_attempt(self, upstream: Upstream) -> bool:
+        """Make one attempt; return whether the request is finished."""
         job, state, progress = self._job, self._state, self._progress
-        self._note_try()
+        self._count_attempt()
         resume_after = progress.splitter.last_id if self._caller.has_begun else None
-        was_unsure, progress.may_have_run = progress.may_have_run, True
+        may_have_run_before, progress.may_have_run = progress.may_have_run, True
         self._sent_at_s = self._clock()
         move = Move()
         if self._is_movable():
@@ -132,9 +136,9 @@
                 move=move,
             )
             if isinstance(result, MayHaveRun):
-                await self._note_cut(upstream, move)
+                await self._note_broken_off(upstream, move)
             if isinstance(result, NotRun):
-                progress.may_have_run = was_unsure
+                progress.may_have_run = may_have_run_before
             if result.signals is not None:
                 state.note_signals(upstream, result.signals)
             if move.is_asked and not isinstance(result, Answered):
@@ -143,17 +147,18 @@
             self._note_result(upstream, result)
             if not isinstance(result, Answered):
                 return False
-            return await self._relay_or_break(upstream, result, move)
+            return await self._relay_or_drop(upstream, result, move)
         except asyncio.CancelledError:
-            # The caller left, or its time was over; a crashed upstream may just have gone silent.
+            # The caller disconnected or the deadline passed. A crashed upstream may merely have
+            # stopped responding, so an attempt without any output still counts as broken off.
             if not progress.first_piece_at_s:
                 state.crashes.note_cut(self._make_fingerprint, upstream)
             raise
         finally:
             upstream.moves.discard(move)
 
-    def _note_try(self) -> None:
-        """Count a try in the retry window at the time it is sent."""
+    def _count_attempt(self) -> None:
+        """Count an attempt in the retry window at the time it is sent."""
         window = self._state.retry_window(self._job.service)
         if self._retry_taken_at_s is None:
             window.note_first(self._clock())
@@ -161,8 +166,8 @@
             window.note_sent(self._retry_taken_at_s, self._clock())
             self._retry_taken_at_s = None
 
-    async def _note_cut(self, upstream: Upstream, move: Move) -> None:
-        """Take in that a try broke off, and see whether the upstream crashed."""
+    async def _note_broken_off(self, upstream: Upstream, move: Move) -> None:
+        """Record a broken connection and check whether the upstream crashed."""
         if move.why is MoveReason.SLOW_RANK:
             return
         self._state.crashes.note_cut(self._make_fingerprint, upstream)
@@ -171,12 +176,12 @@
     def _make_fingerprint(self) -> Fingerprint:
         return make_fingerprint(self._job)
 
-    async def _relay_or_break(self, upstream: Upstream, answered: Answered, move: Move) -> bool:
-        """Relay an answer; return False where it broke and another try may go on."""
+    async def _relay_or_drop(self, upstream: Upstream, answered: Answered, move: Move) -> bool:
+        """Relay an answer; return False if it broke off and another attempt may continue it."""
         try:
             return await self._relay(upstream, answered)
         except CutError as exc:
-            await self._note_cut(upstream, move)
+            await self._note_broken_off(upstream, move)
             if move.is_asked:
                 self._note_attempt(upstream, "attempt_moved", str(move.why))
             else:
@@ -188,7 +193,7 @@
             answered.connection.abort()
 
     def _is_movable(self) -> bool:
-        """Return whether the try in hand may be followed by another, whatever comes of it."""
+        """Return whether the current attempt may be followed by another whatever its result."""
         route = self._job.route
         return route.is_repeatable and len(self._progress.tried) < route.max_tries
 
@@ -202,42 +207,46 @@
             state.upstreams.note_failure(upstream, now_s, is_unreachable=False)
             return
         if result.is_unreachable or result.is_other_upstream:
-            # What answers at the address of an upstream that is gone is another one.
+            # An answer with another identity means that the listed upstream is gone and that its
+            # address has been reused.
             state.upstreams.note_failure(upstream, now_s, is_unreachable=True)
         elif not result.is_group_broken:
-            # Who refuses at once has nothing in hand, and would be the first choice again.
+            # An upstream that refuses immediately has no requests in flight, so least-loaded
+            # selection would choose it again.
             upstream.eject(now_s)
         if result.is_group_broken:
-            self._note_broken(upstream.listed.group_key)
+            self._note_group_broken(upstream.listed.group_key)
 
-    def _note_broken(self, group_key: str) -> None:
+    def _note_group_broken(self, group_key: str) -> None:
         health = self._state.health
         if not health.is_broken(group_key):
             log_event(_LOG, "group_broken", group=group_key)
         health.note_refused(group_key, self._clock())
 
     async def _relay(self, upstream: Upstream, answered: Answered) -> bool:
-        """Relay an answer; return False where another try would serve better."""
+        """Relay an answer; return False if the request is to be retried instead."""
         head, connection = answered.head, answered.connection
         is_stream = self._job.route.kind is RequestKind.STREAM and head.status == HTTPStatus.OK
         if self._caller.has_begun and not is_stream:
-            raise CutError(f"status {head.status} to a stream that was to go on")
+            raise CutError(
+                f"upstream answered status {head.status} to a request to resume a stream"
+            )
         if is_stream:
             await self._relay_stream(upstream, answered)
             upstream.note_answer(failed=False)
         else:
             body = await connection.read_body()
-            self._note_begun()
-            if self._judge_whole(upstream, head) and self._may_repeat(is_answered=True):
+            self._note_answer_latency()
+            if self._note_status(upstream, head) and self._take_retry(is_answered=True):
                 return False
-            self._caller.send_whole(head.status, _end_to_end(head), body)
+            self._caller.send_whole(head.status, _end_to_end_headers(head), body)
         if head.status < _FIRST_FAILED_STATUS:
             self._state.crashes.note_answered(self._make_fingerprint())
         outcome.note_done(self._state, self._job, self._progress, head.status)
         return True
 
-    def _judge_whole(self, upstream: Upstream, head: AnswerHead) -> bool:
-        """Count a whole answer for or against its upstream; return whether it failed."""
+    def _note_status(self, upstream: Upstream, head: AnswerHead) -> bool:
+        """Record a complete answer as a success or failure; return whether it is a failure."""
         if head.status < _FIRST_FAILED_STATUS:
             upstream.note_answer(failed=False)
             return False
@@ -250,7 +259,7 @@
         if not self._caller.has_begun:
             length = head.get(b"content-length")
             self._caller.begin_stream(
-                head.status, _end_to_end(head), length=int(length) if length else None
+                head.status, _end_to_end_headers(head), length=int(length) if length else None
             )
         pass_times = self._state.pass_times_of(upstream.listed)
         last_s = None
@@ -262,22 +271,22 @@
                     self._note_pause(pass_times, now_s - last_s)
                 elif not self._progress.first_piece_at_s:
                     outcome.note_first_piece(self._state, self._job, self._progress)
-                    self._note_begun()
+                    self._note_answer_latency()
                 last_s = now_s
             await self._caller.send_piece(events)
         await self._caller.send_piece(splitter.take_rest())
         self._caller.end_stream()
 
-    def _note_begun(self) -> None:
-        begin_s = self._clock() - self._sent_at_s
-        self._state.admission(self._job.service).note_begun(begin_s)
+    def _note_answer_latency(self) -> None:
+        latency_s = self._clock() - self._sent_at_s
+        self._state.admission(self._job.service).note_answer_latency(latency_s)
 
     def _note_pause(self, pass_times: PassTimes, pause_s: float) -> None:
         pass_times.note_pause(pause_s)
         self._progress.longest_pause_s = max(self._progress.longest_pause_s, pause_s)
 
-    def _may_repeat(self, *, is_answered: bool = False) -> bool:
-        """Return whether another try is allowed, and take it from the budget."""
+    def _take_retry(self, *, is_answered: bool = False) -> bool:
+        """Return whether a retry is allowed; if so, take it from the retry budget."""
         job, progress = self._job, self._progress
         if len(progress.tried) >= job.route.max_tries:
             return False
@@ -286,13 +295,13 @@
         if not self._state.crashes.may_try_again(self._make_fingerprint):
             return False
         if self._state.admission(job.service).is_broken():
-            # Another rank of a broken group refuses too; the try would be for nothing.
+            # Every rank of a broken group refuses requests, so a retry cannot succeed.
             return False
         self._retry_taken_at_s = self._state.take_retry(job.service, job.request_id)
         return self._retry_taken_at_s is not None
 
     def _give_up(self, reason: str, retry_after_s: float) -> None:
-        """Tell the caller at once that nothing more is done for its request."""
+        """End the request with an error response, or cut off an answer that has begun."""
         state, caller, job, progress = self._state, self._caller, self._job, self._progress
         if caller.has_begun:
             outcome.cut(state, caller, job, progress, reason)
@@ -318,5 +327,5 @@
         )
 
 
-def _end_to_end(head: AnswerHead) -> list[tuple[bytes, bytes]]:
+def _end_to_end_headers(head: AnswerHead) -> list[tuple[bytes, bytes]]:
     return [(k, v) for k, v in head.headers if k not in HOP_HEADERS]
--- a/dalehollow/gateway/outcome.py
+++ b/dalehollow/gateway/outcome.py
@@ -1,6 +1,6 @@
-"""Tell callers, logs and metrics how a request ended.
+"""Report how requests ended to callers, logs and metrics.
 
-Refusals, failures and cuts each have their line; of the ordinary answers a sample has.
+Refused, failed, late and truncated requests are always logged, other requests are sampled.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from dalehollow.gateway.upstream import Upstream
 from dalehollow.telemetry.logs import log_event
 
-SAMPLED_SHARE = 1 / 16
-"""Of the ordinary answers one in so many has a line: a few lines a second under full load."""
+LOG_SAMPLE_RATIO = 1 / 16
+"""Share of ordinary answers that are logged, a few lines per second under full load."""
 _MS_PER_S = 1000
 
 _LOG = logging.getLogger(__name__)
@@ -26,13 +26,13 @@
 
 @dataclass
 class Progress:
-    """Hold how far a request has come; times are seconds on the monotonic clock."""
+    """Track the progress of a request; times are seconds on the monotonic clock."""
 
     tried: list[str] = field(default_factory=list)
     may_have_run: bool = False
     waited_s: float = 0.0
-    # Of the last upstream tried when it was chosen: its load, what was left of a rest that it had
-    # asked for, and whether it is of another hall.
+    # State of the last upstream when it was chosen: its load, the remainder of its backoff, and
+    # whether it is in another hall.
     load: float = 0.0
     rest_left_s: float = 0.0
     is_far: bool = False
@@ -44,7 +44,7 @@
 def refuse(
     state: GatewayState, caller: CallerConnection, request: CallerRequest, refusal: Refusal
 ) -> None:
-    """Answer a request that was not admitted: it has not run and will not."""
+    """Send and log the refusal of a request that was not sent to any upstream."""
     request_id = request.get(state.names.request_id)
     headers = [(state.names.request_id, request_id)] if request_id is not None else []
     if refusal.retry_after_s is not None:
@@ -58,13 +58,13 @@
         reason=refusal.reason,
         retry_after_s=refusal.retry_after_s,
         config_version=state.table.version if state.table is not None else None,
-        **_describe_knowledge(state, refusal),
+        **_describe_config(state, refusal),
     )
     caller.send_whole(refusal.status, headers, b"")
 
 
-def _describe_knowledge(state: GatewayState, refusal: Refusal) -> dict[str, object]:
-    """Return how old the knowledge is that a refusal rests on, where it rests on it alone."""
+def _describe_config(state: GatewayState, refusal: Refusal) -> dict[str, object]:
+    """Return the age of the configuration if it is the only reason for the refusal."""
     if refusal.status not in (HTTPStatus.UNAUTHORIZED, HTTPStatus.NOT_FOUND):
         return {}
     age_s = asyncio.get_running_loop().time() - state.table_at_s
@@ -81,7 +81,7 @@
     status: int,
     retry_after_s: float | None = None,
 ) -> None:
-    """Give the final answer of an admitted request that no upstream's answer ends."""
+    """Send an error response for an admitted request that no upstream answered."""
     headers = [(state.names.request_id, job.request_id)]
     if retry_after_s is not None:
         headers.append((state.names.retry_after_s, _format_s(retry_after_s)))
@@ -97,8 +97,10 @@
     caller.send_whole(status, headers, b"")
 
 
-def end_late(state: GatewayState, caller: CallerConnection, job: Job, progress: Progress) -> None:
-    """Give the final answer of a request whose time is over."""
+def end_timed_out(
+    state: GatewayState, caller: CallerConnection, job: Job, progress: Progress
+) -> None:
+    """End a request whose deadline has passed."""
     if caller.has_begun:
         cut(state, caller, job, progress, "timeout")
         return
@@ -113,7 +115,7 @@
 def cut(
     state: GatewayState, caller: CallerConnection, job: Job, progress: Progress, reason: str
 ) -> None:
-    """Break off an answer that has begun and cannot be made whole."""
+    """Cut off an answer that has begun and cannot be completed."""
     state.metrics.count("requests", outcome="cut", reason=reason)
     last_id = progress.splitter.last_id
     _log_end("answer_cut", job, progress, reason=reason, last_event=(last_id or b"").decode())
@@ -121,7 +123,7 @@
 
 
 def note_done(state: GatewayState, job: Job, progress: Progress, status: int) -> None:
-    """Record an upstream's answer that went to the caller whole."""
+    """Record an upstream's answer that was relayed completely."""
     now_s = asyncio.get_running_loop().time()
     state.metrics.count("requests", outcome="answered", reason=str(status))
     state.metrics.record_ms("answer", (now_s - job.began_at_s) * _MS_PER_S, service=job.service)
@@ -129,12 +131,12 @@
     if is_late:
         state.metrics.count("answers_late", service=job.service)
     is_unusual = is_late or len(progress.tried) > 1 or status >= HTTPStatus.BAD_REQUEST
-    if is_unusual or state.rng.random() < SAMPLED_SHARE:
+    if is_unusual or state.rng.random() < LOG_SAMPLE_RATIO:
         _log_end("request_done", job, progress, status=status, total_ms=_ms_since(job, now_s))
 
 
 def _is_late(job: Job, progress: Progress, now_s: float) -> bool:
-    """Return whether an answer missed its route's objective, or one of its pauses did."""
+    """Return whether an answer missed the latency or the pause objective of its route."""
     route = job.route
     begun_at_s = progress.first_piece_at_s or now_s
     is_first_late = _ms_since(job, begun_at_s) > route.objective_ms > 0
@@ -142,15 +144,15 @@
     return is_first_late or longest_ms > route.pause_objective_ms > 0
 
 
-def note_left(state: GatewayState, job: Job, progress: Progress) -> None:
-    """Record a caller that left before its answer was whole."""
+def note_caller_left(state: GatewayState, job: Job, progress: Progress) -> None:
+    """Record a caller that disconnected before its answer was complete."""
     now_s = asyncio.get_running_loop().time()
     state.metrics.count("requests", outcome="left", reason="caller_left")
     _log_end("caller_left", job, progress, after_ms=_ms_since(job, now_s))
 
 
 def note_first_piece(state: GatewayState, job: Job, progress: Progress) -> None:
-    """Record the first piece of a stream."""
+    """Record the time of the first events of a stream."""
     progress.first_piece_at_s = asyncio.get_running_loop().time()
     first_ms = (progress.first_piece_at_s - job.began_at_s) * _MS_PER_S
     state.metrics.record_ms("first_piece", first_ms, service=job.service)
@@ -166,7 +168,7 @@
     load: float,
     rest_left_s: float,
 ) -> None:
-    """Record a try that did not end in a whole answer."""
+    """Record an attempt without a complete answer."""
     state.metrics.count("attempts_failed", service=job.service, event=event)
     log_event(
         _LOG,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Check who gets a place, who waits and who is told to come back."""
+"""Test which requests are admitted, queued or refused."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 SLOTS = 2
 
 
-def _turn(*, priority: int = 5, left_s: float = 8.0, objective_s: float = 40.0) -> Turn:
-    # The objective is long, so that no wait ends before the test ends it.
-    return Turn("talk", priority, objective_s, left_s, left_s)
+def _turn(*, priority: int = 5, time_left_s: float = 8.0, objective_s: float = 40.0) -> Turn:
+    # The objective is long enough that no wait times out during a test.
+    return Turn("talk", priority, objective_s, time_left_s, time_left_s)
 
 
 class _Desk:
-    """Hold one service with upstreams, and a clock that stands still unless told."""
+    """Provide one service with upstreams and a manually advanced clock."""
 
     def __init__(self, upstreams: int = 1) -> None:
         rng = random.Random(7)
@@ -96,7 +96,7 @@
         places = [await desk.take() for _ in range(SLOTS)]
         usual = await desk.wait(priority=9)
         urgent = await desk.wait(priority=0)
-        returned = await desk.wait(priority=9, left_s=4.0)
+        returned = await desk.wait(priority=9, time_left_s=4.0)
         order = []
         for task, name in ((usual, "usual"), (urgent, "urgent"), (returned, "returned")):
             task.add_done_callback(lambda _, name=name: order.append(name))  # type: ignore[misc]
@@ -132,7 +132,7 @@
         leaving.cancel()
         place = places[0]
         assert isinstance(place, Upstream)
-        # Before the task that waits has noticed.
+        # Release the slot before the cancelled task has run.
         desk.admission.give_back(place)
         assert isinstance(await staying, Upstream)
         await asyncio.gather(leaving, return_exceptions=True)
@@ -170,7 +170,9 @@
         assert isinstance(probe, Upstream)
         assert isinstance(refused, NoPlace)
         assert refused.reason == "group_broken"
-        assert refused.retry_after_s == pytest.approx(8.0 * admission_module.LEFT_SHARE)
+        assert refused.retry_after_s == pytest.approx(
+            8.0 * admission_module.RETRY_AFTER_TIME_LEFT_SHARE
+        )
         desk.health.note_served("desk", desk.now_s + 0.1)
         assert isinstance(await desk.take(), Upstream)
 
@@ -178,20 +180,20 @@
 
 
 def test_a_first_try_waits_as_long_as_it_can_still_be_served_in_time() -> None:
-    """A fixed share was too long where answers begin late, and too short elsewhere."""
+    """A wait of a fixed share of the objective is too long for slow upstreams, else too short."""
 
     async def scenario(desk: _Desk) -> None:
         for _ in range(SLOTS):
             await desk.take()
         turn = _turn(objective_s=0.02)
-        desk.admission._done_interval_s = 0.001
-        desk.admission.note_begun(0.03)
-        assert desk.admission._patience_s(turn, False) == 0.0
+        desk.admission._completion_interval_s = 0.001
+        desk.admission.note_answer_latency(0.03)
+        assert desk.admission._max_wait_s(turn, False) == 0.0
         refused = await desk.take(objective_s=0.02)
         assert isinstance(refused, NoPlace) and refused.reason == "no_place_in_time"
         for _ in range(100):
-            desk.admission.note_begun(0.005)
-        assert desk.admission._patience_s(turn, False) == pytest.approx(0.015, abs=0.001)
+            desk.admission.note_answer_latency(0.005)
+        assert desk.admission._max_wait_s(turn, False) == pytest.approx(0.015, abs=0.001)
 
     _run(scenario)
 
@@ -211,7 +213,7 @@
             refused = await task
             assert isinstance(refused, NoPlace)
             assert refused.reason == "all_resting"
-            # The first rest to end is named, to each caller a moment of its own.
+            # `Retry-After` covers the backoff that ends first and differs between callers.
             assert refused.retry_after_s >= 1.0
         assert desk.admission.waiting == []
 
