--- a/dalehollow/gateway/admission.py
+++ b/dalehollow/gateway/admission.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from dalehollow.gateway.health import GroupHealth
-from dalehollow.gateway.limit_tokens import ASK_LIFE_S, MAX_WANTED
+from dalehollow.gateway.limit_tokens import MAX_REQUESTED_TOKENS, TOKEN_REQUEST_LIFE_S
 from dalehollow.gateway.upstream import Upstream
 from dalehollow.gateway.upstreams import UpstreamSet
 
@@ -112,7 +112,7 @@
             # The time of recovery is unknown, so that most waiting requests would time out.
             return NoPlace("group_broken", self._max_retry_after_s(turn))
         if not self.waiting or is_broken:
-            upstream = self._choose_upstream(tried, wants_tokens=True)
+            upstream = self._choose_upstream(tried, requests_tokens=True)
             if upstream is not None:
                 return self._reserve(upstream)
         candidates = self._list_candidates(tried)
@@ -121,12 +121,12 @@
         max_wait_s = self._max_wait_s(turn, is_client_retry)
         if self._expected_wait_s() > max_wait_s:
             lacks_tokens = self.upstreams.lacks_tokens(candidates, self.clock())
-            if not lacks_tokens or len(self.waiting) >= MAX_WANTED:
+            if not lacks_tokens or len(self.waiting) >= MAX_REQUESTED_TOKENS:
                 return NoPlace("no_place_in_time", self._retry_after_s(turn))
-            max_wait_s = min(max_wait_s, ASK_LIFE_S)
+            max_wait_s = min(max_wait_s, TOKEN_REQUEST_LIFE_S)
         return await self._wait(turn, tried, is_client_retry, max_wait_s)
 
-    def give_back(self, upstream: Upstream) -> None:
+    def release(self, upstream: Upstream) -> None:
         """Release the slot of a finished request."""
         upstream.in_hand -= 1
         now_s = self.clock()
@@ -204,7 +204,7 @@
             if waiter.granted.done() and not waiter.granted.cancelled():
                 granted = waiter.granted.result()
                 if isinstance(granted, Upstream):
-                    self.give_back(granted)
+                    self.release(granted)
             raise
         finally:
             if waiter in self.waiting:
@@ -222,14 +222,14 @@
         return (len(self.waiting) + 1) * max(self._completion_interval_s, since_completion_s)
 
     def _choose_upstream(
-        self, tried: Collection[str], *, wants_tokens: bool = False
+        self, tried: Collection[str], *, requests_tokens: bool = False
     ) -> Upstream | None:
         return self.upstreams.choose(
             self.service,
             tried,
             self.clock(),
             self._list_excluded_groups(),
-            wants_tokens=wants_tokens,
+            requests_tokens=requests_tokens,
         )
 
     def _list_excluded_groups(self) -> list[str]:
--- a/dalehollow/gateway/crashes.py
+++ b/dalehollow/gateway/crashes.py
@@ -1,14 +1,14 @@
-"""Find requests that crash the upstreams which run them, and keep them from more.
+"""Detect requests that crash upstreams, and refuse them.
 
-A request is known by its path, account and body. Of all that was in hand at an upstream when it
-crashed one request is the cause at most, and nobody can tell which: each is suspected, but for
-those that any gateway has seen answered with success of late, and cleared by the next such answer.
-What has crashed three upstreams without one is refused for a while, longer each time; then one
-probe shows whether that still holds.
+A request is identified by its path, account and body. When an upstream crashes, at most one of the
+requests in flight is the cause, but it is unknown which one. Each of them becomes a suspect, unless
+a gateway has recently seen it answered successfully; the next successful answer clears it. A
+request with three crashes and no successful answer is refused for a period that grows with each
+further crash. After each period one probe is admitted to test whether it still crashes upstreams.
 
-A broken connection alone is no crash: answers get lost, links are reset, halls are cut off. A
-crash shows by the upstream's port, which refuses, or by its next start; and not where the upstream
-had said that it leaves.
+A broken connection alone does not count as a crash, because answers get lost, connections are reset
+and halls are disconnected. A crash is detected when the upstream's port refuses connections or when
+the upstream restarts, unless it had announced that it is leaving.
 """
 
 from __future__ import annotations
@@ -26,29 +26,31 @@
 from dalehollow.telemetry.logs import log_event
 
 MOST_CRASHES = 3
-TRIES_AFTER_CRASHES = 2
-"""A request that has crashed so many is not repeated here: its caller may come again."""
-REFUSED_S = 60.0
-REFUSED_FACTOR = 4.0
-REFUSED_MAX_S = 3600.0
-"""Refusals after the third crash and after each probe: three probes within an hour, while one that
-was there at three crashes by chance waits a minute."""
-PROBE_S = 10.0
-"""A probe is over within this; until then no gateway begins another."""
+MAX_CRASHES_FOR_RETRY = 2
+"""Number of crashes after which a gateway no longer retries a request; its caller still may."""
+REFUSAL_S = 60.0
+REFUSAL_FACTOR = 4.0
+MAX_REFUSAL_S = 3600.0
+"""The first refusal, after the third crash, lasts `REFUSAL_S`; each further crash multiplies the
+duration. This allows three probes within an hour, while a request that was in flight at three
+crashes by coincidence is refused for one minute."""
+PROBE_TIMEOUT_S = 10.0
+"""Longest duration of a probe; until then no gateway starts another one."""
 RESTART_S = 15.0
-"""A crashed upstream is back within this as a rule: what broke off longer ago is forgotten."""
-SAME_MOMENT_S = 1.0
-"""What is in hand at a crash breaks off within this, also where a link is slow."""
-KEPT_S = 300.0
-"""A suspicion is kept for so long after the last crash, or after the refusals that follow it."""
+"""Usual restart time of a crashed upstream; older broken connections are discarded."""
+CONNECTION_BREAK_SPREAD_S = 1.0
+"""Interval within which all connections of a crashed upstream break, also on slow links."""
+SUSPICION_RETENTION_S = 300.0
+"""Retention of a suspicion after the last crash or the end of the refusals."""
 KNOWN_GOOD_S = 60.0
-"""What was answered with success within this crashes nobody: many callers may send the same."""
-MOST_KNOWN_GOOD = 2_000
-MOST_SUSPECTS = 500
-MOST_TOLD = 32
-CLEARED_TOLD_S = 30.0
-WAY_S = 0.1
-"""Longer than a report is on its way as a rule: what is told grows younger by that."""
+"""A request answered successfully within this period is not suspected. Many callers may send the
+same request, so that it is in flight at many crashes."""
+MAX_KNOWN_GOOD = 2_000
+MAX_SUSPECTS = 500
+MAX_REPORTED_SUSPECTS = 32
+CLEARED_RETENTION_S = 30.0
+MAX_REPORT_TRANSIT_S = 0.1
+"""Upper bound of the usual transit time of a report, by which received ages are too low."""
 
 _LOG = logging.getLogger(__name__)
 
@@ -56,8 +58,8 @@
 
 
 @dataclass(frozen=True)
-class _Cut:
-    """Hold a try that broke off without an answer."""
+class _BrokenAttempt:
+    """Describe an attempt whose connection broke before an answer was complete."""
 
     fingerprint: Fingerprint
     at_s: float
@@ -66,35 +68,37 @@
 
 @dataclass
 class _Suspect:
-    """Hold when a request crashed which starts of upstreams, was cleared, and was tried again."""
+    """Track the crashes of a request, its last successful answer and its last probe."""
 
     crashes: dict[str, float] = field(default_factory=dict)
     cleared_at_s: float = float("-inf")
     probed_at_s: float = float("-inf")
 
     def refused_until_s(self) -> float:
-        """Return until when the request is refused; the past where it is not."""
+        """Return until when the request is refused; a past time if it is not."""
         more = len(self.crashes) - MOST_CRASHES
         if more < 0:
             return float("-inf")
-        refused_s = min(REFUSED_MAX_S, REFUSED_S * REFUSED_FACTOR**more)
-        return max(max(self.crashes.values()) + refused_s, self.probed_at_s + PROBE_S)
+        refused_s = min(MAX_REFUSAL_S, REFUSAL_S * REFUSAL_FACTOR**more)
+        return max(max(self.crashes.values()) + refused_s, self.probed_at_s + PROBE_TIMEOUT_S)
 
     def clear(self, at_s: float) -> None:
-        """Forget the crashes up to a moment at which the request was answered."""
+        """Discard the crashes before a successful answer at `at_s`."""
         self.cleared_at_s = max(self.cleared_at_s, at_s)
         self.crashes = {name: s for name, s in self.crashes.items() if s > self.cleared_at_s}
 
-    def kept_until_s(self) -> float:
-        """Return until when it is of use to know this."""
+    def retained_until_s(self) -> float:
+        """Return the time after which this suspect can be discarded."""
         last_s = max(self.crashes.values(), default=float("-inf"))
         return max(
-            last_s + KEPT_S, self.refused_until_s() + KEPT_S, self.cleared_at_s + CLEARED_TOLD_S
+            last_s + SUSPICION_RETENTION_S,
+            self.refused_until_s() + SUSPICION_RETENTION_S,
+            self.cleared_at_s + CLEARED_RETENTION_S,
         )
 
 
 def make_fingerprint(job: Job) -> Fingerprint:
-    """Return what names a request over all its comings."""
+    """Return a hash that is the same for all repetitions of a request."""
     path = job.request.target.partition(b"?")[0]
     parts = (path, job.account.encode(), job.request.body)
     sizes = b"".join(len(part).to_bytes(8) for part in parts)
@@ -102,63 +106,65 @@
 
 
 class CrashWatch:
-    """Hold what broke off of late, the requests that are suspected, and who is refused."""
+    """Track broken attempts and the requests suspected of crashing upstreams."""
 
     def __init__(self, clock: Callable[[], float], on_change: Callable[[], None]) -> None:
-        """Prepare; `on_change` is called when there is something to tell other gateways."""
+        """Initialize; `on_change` is called when suspicions to be reported to peers change."""
         self._clock = clock
         self._on_change = on_change
-        self._cuts: deque[_Cut] = deque()
-        # By address: the newest start that was seen there, and when.
+        self._broken_attempts: deque[_BrokenAttempt] = deque()
+        # By address: the newest instance seen there, and when.
         self._starts: dict[str, tuple[ListedUpstream, float]] = {}
         self._suspects: dict[Fingerprint, _Suspect] = {}
-        # When requests were last answered with success, the newest last.
+        # Time of the last successful answer to each request, the most recent last.
         self._known_good_at_s: dict[Fingerprint, float] = {}
 
-    def note_cut(self, fingerprint: Callable[[], Fingerprint], upstream: Upstream) -> None:
-        """Take in that a try ended without an answer; where an upstream leaves that is no crash."""
+    def note_broken_attempt(
+        self, fingerprint: Callable[[], Fingerprint], upstream: Upstream
+    ) -> None:
+        """Record an attempt that ended without an answer, unless the upstream is leaving."""
         if upstream.is_leaving():
             return
         now_s, listed = self._clock(), upstream.listed
-        while self._cuts and now_s - self._cuts[0].at_s > RESTART_S:
-            self._cuts.popleft()
-        self._cuts.append(_Cut(fingerprint(), now_s, listed))
+        while self._broken_attempts and now_s - self._broken_attempts[0].at_s > RESTART_S:
+            self._broken_attempts.popleft()
+        self._broken_attempts.append(_BrokenAttempt(fingerprint(), now_s, listed))
         newest = self._starts.get(listed.address)
         if newest is not None and now_s - newest[1] < RESTART_S and _is_restart(listed, newest[0]):
             self._note_crash(listed)
 
-    def note_dead(self, listed: ListedUpstream) -> None:
-        """Take in that the port of an upstream refuses connections."""
+    def note_port_closed(self, listed: ListedUpstream) -> None:
+        """Record a crash of an upstream whose port refuses connections."""
         self._note_crash(listed)
 
     def note_started(self, listed: ListedUpstream) -> None:
-        """Take in a start of an upstream: whoever had its id or address before has crashed."""
+        """Record the start of an upstream and the crash of any instance that it replaces."""
         now_s = self._clock()
         self._starts[listed.address] = (listed, now_s)
         for address in [a for a, (_, at_s) in self._starts.items() if now_s - at_s > RESTART_S]:
             del self._starts[address]
-        ended = {_name_start(c.listed): c.listed for c in self._cuts}
+        ended = {_name_run(c.listed): c.listed for c in self._broken_attempts}
         for earlier in ended.values():
             if _is_restart(earlier, listed):
                 self._note_crash(earlier)
 
     def note_answered(self, name: Fingerprint) -> None:
-        """Take in that a request was answered with success."""
+        """Record a successful answer to a request."""
         now_s = self._clock()
         self._known_good_at_s.pop(name, None)
         self._known_good_at_s[name] = now_s
-        if len(self._known_good_at_s) > MOST_KNOWN_GOOD:
+        if len(self._known_good_at_s) > MAX_KNOWN_GOOD:
             del self._known_good_at_s[next(iter(self._known_good_at_s))]
         if name in self._suspects:
             self._clear(name, now_s)
 
     def may_try_again(self, fingerprint: Callable[[], Fingerprint]) -> bool:
-        """Return whether a request may go on to another upstream after a try that broke off."""
+        """Return whether a request may be retried after its connection broke."""
         suspect = self._suspects.get(fingerprint()) if self._suspects else None
-        return suspect is None or len(suspect.crashes) < TRIES_AFTER_CRASHES
+        return suspect is None or len(suspect.crashes) < MAX_CRASHES_FOR_RETRY
 
     def check_request(self, fingerprint: Callable[[], Fingerprint]) -> float:
-        """Return for how long a request is refused, 0 where it is not; a probe begins with this."""
+        """Return how long a request is refused, or 0 if it is not; may start a probe."""
         if not self._suspects:
             return 0.0
         suspect = self._suspects.get(name := fingerprint())
@@ -174,44 +180,48 @@
         return 0.0
 
     def describe(self) -> dict[str, list[str]]:
-        """Return which upstreams each suspected request crashed, by fingerprint."""
+        """Return the upstreams that each suspected request crashed, by fingerprint."""
         return {name.hex(): list(s.crashes) for name, s in self._suspects.items() if s.crashes}
 
     def tell(self) -> dict[Fingerprint, Suspicion]:
-        """Return the newest suspicions, for other gateways."""
+        """Return the most recent suspicions for a report to other gateways."""
         now_s = self._clock()
-        self._forget(now_s)
-        newest = list(self._suspects.items())[-MOST_TOLD:]
+        self._discard_expired(now_s)
+        newest = list(self._suspects.items())[-MAX_REPORTED_SUSPECTS:]
         return {
             name: Suspicion(
                 {crash: round(now_s - at_s, 3) for crash, at_s in suspect.crashes.items()},
-                _tell_age(suspect.cleared_at_s, now_s),
-                _tell_age(suspect.probed_at_s, now_s),
+                _encode_age(suspect.cleared_at_s, now_s),
+                _encode_age(suspect.probed_at_s, now_s),
             )
             for name, suspect in newest
         }
 
-    def take_told(self, told: Mapping[Fingerprint, Suspicion]) -> None:
-        """Take in what another gateway suspects."""
+    def take_told(self, reported: Mapping[Fingerprint, Suspicion]) -> None:
+        """Merge the suspicions reported by another gateway."""
         now_s = self._clock()
-        for name, suspicion in told.items():
+        for name, suspicion in reported.items():
             suspect = self._suspects.setdefault(name, _Suspect())
-            cleared_at_s = _read_age(suspicion.cleared_age_s, now_s)
-            if cleared_at_s > suspect.cleared_at_s + WAY_S:
+            cleared_at_s = _decode_age(suspicion.cleared_age_s, now_s)
+            if cleared_at_s > suspect.cleared_at_s + MAX_REPORT_TRANSIT_S:
                 suspect.clear(cleared_at_s)
-            probed_at_s = _read_age(suspicion.probe_age_s, now_s)
-            if probed_at_s > suspect.probed_at_s + WAY_S:
+            probed_at_s = _decode_age(suspicion.probe_age_s, now_s)
+            if probed_at_s > suspect.probed_at_s + MAX_REPORT_TRANSIT_S:
                 suspect.probed_at_s = probed_at_s
             for crash, age_s in suspicion.crashes.items():
                 self._add_crash(name, crash, now_s - age_s)
-        self._forget(now_s)
+        self._discard_expired(now_s)
 
     def _note_crash(self, listed: ListedUpstream) -> None:
-        """Suspect what broke off at an upstream as it crashed."""
-        crash = _name_start(listed)
-        cuts = [c for c in self._cuts if _name_start(c.listed) == crash]
-        last_s = max((c.at_s for c in cuts), default=0.0)
-        names = {c.fingerprint: c.at_s for c in cuts if last_s - c.at_s <= SAME_MOMENT_S}
+        """Suspect the requests whose connections broke when an upstream crashed."""
+        crash = _name_run(listed)
+        broken_attempts = [c for c in self._broken_attempts if _name_run(c.listed) == crash]
+        last_s = max((c.at_s for c in broken_attempts), default=0.0)
+        names = {
+            c.fingerprint: c.at_s
+            for c in broken_attempts
+            if last_s - c.at_s <= CONNECTION_BREAK_SPREAD_S
+        }
         for name, at_s in names.items():
             self._add_crash(name, crash, at_s, in_hand=len(names))
 
@@ -225,9 +235,9 @@
             self._clear(name, self._clock())
             return
         suspect.crashes[crash] = at_s
-        # The newest stands last.
+        # Move the suspect to the end: suspects are ordered by their most recent crash.
         self._suspects[name] = self._suspects.pop(name)
-        self._forget(self._clock())
+        self._discard_expired(self._clock())
         is_refused = len(suspect.crashes) >= MOST_CRASHES
         log_event(
             _LOG,
@@ -241,36 +251,36 @@
         self._on_change()
 
     def _clear(self, name: Fingerprint, at_s: float) -> None:
-        """Clear a request here, and have others told."""
+        """Clear a request and report that to other gateways."""
         suspect = self._suspects[name]
         log_event(_LOG, "request_cleared", fingerprint=name.hex(), crashes=len(suspect.crashes))
         suspect.clear(at_s)
         self._on_change()
 
-    def _forget(self, now_s: float) -> None:
-        kept = [(n, s) for n, s in self._suspects.items() if s.kept_until_s() > now_s]
-        self._suspects = dict(kept[-MOST_SUSPECTS:])
+    def _discard_expired(self, now_s: float) -> None:
+        kept = [(n, s) for n, s in self._suspects.items() if s.retained_until_s() > now_s]
+        self._suspects = dict(kept[-MAX_SUSPECTS:])
 
 
-def _name_start(listed: ListedUpstream) -> str:
-    """Return what names one start of an upstream."""
+def _name_run(listed: ListedUpstream) -> str:
+    """Return a name that is unique to one run of an upstream."""
     if not listed.started_at_ms:
         return listed.incarnation
     return f"{listed.incarnation}@{listed.started_at_ms}"
 
 
 def _is_restart(earlier: ListedUpstream, later: ListedUpstream) -> bool:
-    """Return whether a start is the next one of what had been there."""
-    if _name_start(earlier) == _name_start(later):
+    """Return whether `later` replaces `earlier` after a restart."""
+    if _name_run(earlier) == _name_run(later):
         return False
     if earlier.incarnation == later.incarnation:
         return later.started_at_ms > earlier.started_at_ms
     return (earlier.address, earlier.service) == (later.address, later.service)
 
 
-def _tell_age(at_s: float, now_s: float) -> float | None:
+def _encode_age(at_s: float, now_s: float) -> float | None:
     return round(now_s - at_s, 3) if at_s > float("-inf") else None
 
 
-def _read_age(age_s: float | None, now_s: float) -> float:
+def _decode_age(age_s: float | None, now_s: float) -> float:
     return now_s - age_s if age_s is not None else float("-inf")
--- a/dalehollow/gateway/exchange.py
+++ b/dalehollow/gateway/exchange.py
@@ -71,7 +71,7 @@
             await self._run_attempts()
         finally:
             if self._retry_taken_at_s is not None:
-                self._state.retry_window(self._job.service).give_back(self._retry_taken_at_s)
+                self._state.retry_window(self._job.service).release(self._retry_taken_at_s)
 
     async def _run_attempts(self) -> None:
         admission = self._state.admission(self._job.service)
@@ -86,7 +86,7 @@
             try:
                 is_done = await self._run_attempt(place)
             finally:
-                admission.give_back(place)
+                admission.release(place)
                 self._state.on_change()
             if is_done:
                 return None
@@ -152,7 +152,7 @@
             # The caller disconnected or the deadline passed. A crashed upstream may merely have
             # stopped responding, so an attempt without any output still counts as broken off.
             if not progress.first_piece_at_s:
-                state.crashes.note_cut(self._make_fingerprint, upstream)
+                state.crashes.note_broken_attempt(self._make_fingerprint, upstream)
             raise
         finally:
             upstream.moves.discard(move)
@@ -161,16 +161,16 @@
         """Count an attempt in the retry window at the time it is sent."""
         window = self._state.retry_window(self._job.service)
         if self._retry_taken_at_s is None:
-            window.note_first(self._clock())
+            window.count_first_attempt(self._clock())
         else:
-            window.note_sent(self._retry_taken_at_s, self._clock())
+            window.mark_sent(self._retry_taken_at_s, self._clock())
             self._retry_taken_at_s = None
 
     async def _note_broken_off(self, upstream: Upstream, move: Move) -> None:
         """Record a broken connection and check whether the upstream crashed."""
         if move.why is MoveReason.SLOW_RANK:
             return
-        self._state.crashes.note_cut(self._make_fingerprint, upstream)
+        self._state.crashes.note_broken_attempt(self._make_fingerprint, upstream)
         await self._state.look_for_crash(upstream.listed)
 
     def _make_fingerprint(self) -> Fingerprint:
--- a/dalehollow/gateway/limit_tokens.py
+++ b/dalehollow/gateway/limit_tokens.py
@@ -1,13 +1,14 @@
-"""Keep all gateways together to the limits that upstreams in need name.
+"""Enforce request rate limits set by upstreams across all gateways.
 
-A limit is one sum over all gateways, and may be lower than their number. So one gateway, the
-allocator of an upstream, grants a token for each request, and nobody sends without one: the sum
-holds whatever gateways know of each other, and who hears no allocator sends nothing there. No
-request waits for the allocator alone: who has no token goes to another upstream, or waits for a
-place like any other, and tokens are asked for beside.
+A limit applies to the sum over all gateways and may be lower than their number. One gateway per
+upstream, its allocator, therefore grants a token for each request, and no gateway sends a request
+to a limited upstream without a token. The limit holds regardless of what gateways know of each
+other, and a gateway that cannot reach the allocator sends nothing to the upstream. Requests do not
+wait for the allocator alone: without a token they go to another upstream or wait in the ordinary
+queue while tokens are requested in the background.
 
-The allocator is of the upstream's own hall, where gateways hear each other best. A hall that is cut
-off from the upstream grants nothing.
+The allocator is in the upstream's own hall, where communication between gateways is most reliable.
+A hall that is disconnected from the upstream grants nothing.
 """
 
 from __future__ import annotations
@@ -23,24 +24,27 @@
 from dalehollow.telemetry.logs import log_event
 
 TOKEN_LIFE_S = 1.0
-"""A token that is not used within this is void: hoarded ones would come on top of the rate."""
+"""Lifetime of a token. Accumulated unused tokens would allow bursts above the rate."""
 BURST_S = 0.5
-"""Tokens gather for so long, for askers that come in groups. With one more and the life of tokens,
-5.5 times the rate and one are used in 4 s at most; 6 times and five may be."""
+"""Capacity of the token bucket, in seconds of its rate plus one token, for simultaneous requests
+for tokens. Together with `TOKEN_LIFE_S`, at most 5.5 * rate + 1 tokens are used in 4 s; the limit
+allows 6 * rate + 5."""
 MIN_RATE_PER_S = 0.25
-"""A lower limit counts as this: only an answer tells that the upstream needs it no more."""
-GRANTS_AFTER_S = 1.5
-"""A gateway that has just started grants nothing: it may not have heard yet of who does."""
-ASKS_PER_S = 40.0
-"""All askers of one upstream share this, so that an allocator's work does not grow with them."""
-MIN_ASK_INTERVAL_S = 0.1
+"""Lower bound of the enforced rate. The end of a limit is only learned from an answer, so requests
+must not stop entirely."""
+GRANT_DELAY_S = 1.5
+"""Delay after startup before a gateway grants tokens; it may not yet know the current allocator."""
+TOKEN_REQUESTS_PER_S = 40.0
+"""Rate of token requests per upstream, shared by all gateways, so that the load of an allocator
+does not grow with their number."""
+MIN_REQUEST_INTERVAL_S = 0.1
 UNRESPONSIVE_S = 0.5
-"""An allocator that answers no ask for so long is passed over for the next one."""
-ASK_LIFE_S = 0.1
-"""Some round trips to another hall, and as long as a request waits that lacks a token alone: one is
-better kept than granted to who has left."""
-MAX_WANTED = 4
-"""One asker wants so many tokens at most: what it uses up within their life."""
+"""Time without an answer after which the next allocator in order is used."""
+TOKEN_REQUEST_LIFE_S = 0.1
+"""Lifetime of a token request: a few round trips to another hall, and the longest wait of a request
+that lacks only a token. A token granted later would go unused."""
+MAX_REQUESTED_TOKENS = 4
+"""Most tokens that a gateway requests at a time, as many as it can use within their lifetime."""
 TICK_S = 0.05
 MIN_TICK_S = 0.01
 
@@ -51,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Peer:
-    """Hold another gateway as far as tokens go; `is_heard` where it was heard of late."""
+    """Describe another gateway; `is_heard` is set if a message from it was received recently."""
 
     name: str
     hall: str
@@ -60,60 +64,61 @@
 
 
 @dataclass
-class _Asker:
+class _PendingRequest:
     wanted: int
-    until_s: float
+    expires_at_s: float
 
 
 @dataclass
 class _Allocation:
-    """Hold what an allocator keeps for one upstream; it begins without tokens."""
+    """Hold the token bucket of one upstream at its allocator; it is empty at first."""
 
     rate_per_s: float
     filled_at_s: float
     tokens: float = 0.0
-    # By name, who got no token for longest first.
-    askers: dict[str, _Asker] = field(default_factory=dict)
+    # By gateway name; the gateway that has waited longest for a token is first.
+    pending: dict[str, _PendingRequest] = field(default_factory=dict)
 
     def fill(self, rate_per_s: float, now_s: float) -> None:
-        """Add what has gathered, and go on with a rate."""
+        """Add the tokens accrued at the previous rate and set the rate."""
         self.tokens += (now_s - self.filled_at_s) * self.rate_per_s
         self.rate_per_s, self.filled_at_s = rate_per_s, now_s
         self.tokens = min(self.tokens, 1.0 + BURST_S * rate_per_s)
 
     def grant(self, now_s: float) -> dict[str, int]:
-        """Grant the tokens, one each in turn; return how many each asker gets."""
+        """Grant tokens round-robin and return their number per gateway."""
         granted: dict[str, int] = {}
-        self.askers = {n: a for n, a in self.askers.items() if now_s <= a.until_s}
-        while self.tokens >= 1.0 and self.askers:
-            name = next(iter(self.askers))
-            asker = self.askers.pop(name)
+        self.pending = {n: a for n, a in self.pending.items() if now_s <= a.expires_at_s}
+        while self.tokens >= 1.0 and self.pending:
+            name = next(iter(self.pending))
+            requester = self.pending.pop(name)
             self.tokens -= 1.0
             granted[name] = granted.get(name, 0) + 1
-            asker.wanted -= 1
-            if asker.wanted:
-                self.askers[name] = asker
+            requester.wanted -= 1
+            if requester.wanted:
+                self.pending[name] = requester
         return granted
 
 
 @dataclass
-class _Limited:
-    """Hold one upstream's limit as a gateway uses it: its tokens, and what it wants."""
+class _LimitState:
+    """Hold the limit of one upstream with the tokens that this gateway has and requests."""
 
     hall: str
     rate_per_s: float
-    # Until when each token may be used.
+    # Expiry time of each token.
     tokens: list[float] = field(default_factory=list)
     wanted: int = 0
-    wanted_at_s: float = float("-inf")
-    asked_at_s: float = float("-inf")
-    # Since when an allocator has not answered, and how many of those in order were passed over.
+    requested_at_s: float = float("-inf")
+    sent_at_s: float = float("-inf")
+    # Time of the first unanswered request to the current allocator, and the number of allocators
+    # skipped for not answering.
     unanswered_since_s: float | None = None
-    passed_over: int = 0
+    skipped_allocators: int = 0
 
 
 class LimitTokens:
-    """Hold the limits that are known, this gateway's tokens, and what it grants."""
+    """Request, use and grant the tokens of upstreams with a rate limit."""
 
     def __init__(
         self,
@@ -124,59 +129,59 @@
         send: Callable[[PeerMessage, Address], None],
         on_tokens: Callable[[], None],
     ) -> None:
-        """Prepare; `on_tokens` is called soon after tokens have come."""
+        """Initialize; `on_tokens` is called soon after tokens have been received."""
         self._name = name
         self._hall = hall
         self._clock = clock
         self._list_peers = list_peers
         self._send = send
         self._on_tokens = on_tokens
-        self._grants_from_s = clock() + GRANTS_AFTER_S
-        self._limited: dict[str, _Limited] = {}
+        self._grants_from_s = clock() + GRANT_DELAY_S
+        self._limits: dict[str, _LimitState] = {}
         self._allocations: dict[str, _Allocation] = {}
         self._addresses: dict[str, Address] = {}
         self._changed = asyncio.Event()
 
     def note_limit(self, incarnation: str, hall: str, rate_per_s: float | None) -> None:
-        """Take in an upstream's limit, None where it has none any more."""
+        """Update the limit of an upstream; None removes it."""
         if rate_per_s is None:
-            self._limited.pop(incarnation, None)
+            self._limits.pop(incarnation, None)
             self._allocations.pop(incarnation, None)
             return
-        limited = self._limited.setdefault(incarnation, _Limited(hall, rate_per_s))
-        limited.rate_per_s = max(MIN_RATE_PER_S, rate_per_s)
+        limit = self._limits.setdefault(incarnation, _LimitState(hall, rate_per_s))
+        limit.rate_per_s = max(MIN_RATE_PER_S, rate_per_s)
         self._changed.set()
 
     def may_send(self, incarnation: str) -> bool:
-        """Return whether a request may go to an upstream: it has no limit, or there is a token."""
-        limited = self._limited.get(incarnation)
-        if limited is None:
+        """Return whether an upstream has no limit or a token for it is available."""
+        limit = self._limits.get(incarnation)
+        if limit is None:
             return True
         now_s = self._clock()
-        limited.tokens = [until_s for until_s in limited.tokens if until_s > now_s]
-        return bool(limited.tokens)
+        limit.tokens = [expires_at_s for expires_at_s in limit.tokens if expires_at_s > now_s]
+        return bool(limit.tokens)
 
     def spend(self, incarnation: str) -> None:
-        """Use a token up, where one is needed."""
-        limited = self._limited.get(incarnation)
-        if limited is not None and limited.tokens:
-            limited.tokens.pop(0)
-
-    def want(self, incarnation: str) -> bool:
-        """Ask for a token, which may come at once; return whether the allocator answers."""
-        limited, now_s = self._limited[incarnation], self._clock()
-        if now_s - limited.wanted_at_s > ASK_LIFE_S:
-            # Who wanted some before has left.
-            limited.wanted = 0
-        limited.wanted_at_s = now_s
-        limited.wanted = min(MAX_WANTED, limited.wanted + 1)
+        """Consume a token if the upstream has a limit."""
+        limit = self._limits.get(incarnation)
+        if limit is not None and limit.tokens:
+            limit.tokens.pop(0)
+
+    def request_token(self, incarnation: str) -> bool:
+        """Request a token, perhaps granted at once; return whether the allocator responds."""
+        limit, now_s = self._limits[incarnation], self._clock()
+        if now_s - limit.requested_at_s > TOKEN_REQUEST_LIFE_S:
+            # The requests that needed the earlier tokens have stopped waiting.
+            limit.wanted = 0
+        limit.requested_at_s = now_s
+        limit.wanted = min(MAX_REQUESTED_TOKENS, limit.wanted + 1)
         self.step()
-        return not self._is_unresponsive(limited)
+        return not self._is_unresponsive(limit)
 
     async def run(self) -> None:
-        """Ask and grant for as long as there are limits, for ever."""
+        """Request and grant tokens periodically while any limit exists; never returns."""
         while True:
-            if not self._limited:
+            if not self._limits:
                 await self._changed.wait()
             await wait_set(self._changed, TICK_S)
             self._changed.clear()
@@ -184,75 +189,80 @@
             await asyncio.sleep(MIN_TICK_S)
 
     def step(self) -> None:
-        """Ask for what is wanted, and grant what there is."""
+        """Send pending token requests and grant available tokens."""
         now_s = self._clock()
         peers = self._list_peers()
-        interval_s = _ask_interval_s(len(peers))
-        asks: dict[str, dict[str, int]] = {}
-        for incarnation, limited in self._limited.items():
-            allocator = self._choose_allocator(incarnation, limited, peers)
+        interval_s = _request_interval_s(len(peers))
+        requests: dict[str, dict[str, int]] = {}
+        for incarnation, limit in self._limits.items():
+            allocator = self._choose_allocator(incarnation, limit, peers)
             if allocator != self._name:
                 self._allocations.pop(incarnation, None)
             if allocator == self._name:
-                self._take_wanted(incarnation, self._name, limited.wanted)
-                limited.wanted, limited.unanswered_since_s = 0, None
-            elif limited.wanted and now_s - limited.asked_at_s >= interval_s:
-                asks.setdefault(allocator, {})[incarnation] = limited.wanted
-                limited.wanted, limited.asked_at_s = 0, now_s
-                limited.unanswered_since_s = limited.unanswered_since_s or now_s
+                self._add_request(incarnation, self._name, limit.wanted)
+                limit.wanted, limit.unanswered_since_s = 0, None
+            elif limit.wanted and now_s - limit.sent_at_s >= interval_s:
+                requests.setdefault(allocator, {})[incarnation] = limit.wanted
+                limit.wanted, limit.sent_at_s = 0, now_s
+                limit.unanswered_since_s = limit.unanswered_since_s or now_s
         addresses = {peer.name: peer.address for peer in peers}
-        for allocator, wanted in asks.items():
+        for allocator, wanted in requests.items():
             self._send(TokenAsk(self._name, wanted), addresses[allocator])
         self._grant({})
 
-    def take_ask(self, ask: TokenAsk, address: Address) -> None:
-        """Take in what another gateway wants, where this one is the allocator, and answer."""
-        self._addresses[ask.sender] = address
+    def take_ask(self, request: TokenAsk, address: Address) -> None:
+        """Handle a token request for the upstreams that this gateway allocates."""
+        self._addresses[request.sender] = address
         peers = self._list_peers()
-        heard: dict[str, int] = {}
-        for incarnation, wanted in ask.wanted.items():
-            limited = self._limited.get(incarnation)
-            if limited is None or self._find_allocator(incarnation, limited, peers) != self._name:
+        acknowledged: dict[str, int] = {}
+        for incarnation, wanted in request.wanted.items():
+            limit = self._limits.get(incarnation)
+            if limit is None or self._find_allocator(incarnation, limit, peers) != self._name:
                 continue
-            self._take_wanted(incarnation, ask.sender, wanted)
-            heard[incarnation] = 0
-        if heard:
-            self._grant({ask.sender: heard})
+            self._add_request(incarnation, request.sender, wanted)
+            acknowledged[incarnation] = 0
+        if acknowledged:
+            self._grant({request.sender: acknowledged})
 
     def take_grant(self, grant: TokenGrant) -> None:
-        """Take in tokens of an allocator, or that it has heard and has none now."""
-        until_s = self._clock() + TOKEN_LIFE_S
+        """Store granted tokens; a grant of 0 acknowledges a request while none is available."""
+        expires_at_s = self._clock() + TOKEN_LIFE_S
         for incarnation, tokens in grant.tokens.items():
-            limited = self._limited.get(incarnation)
-            if limited is not None:
-                limited.unanswered_since_s = None
-                limited.tokens += [until_s] * min(tokens, MAX_WANTED)
+            limit = self._limits.get(incarnation)
+            if limit is not None:
+                limit.unanswered_since_s = None
+                limit.tokens += [expires_at_s] * min(tokens, MAX_REQUESTED_TOKENS)
         asyncio.get_running_loop().call_soon(self._on_tokens)
 
-    def _is_unresponsive(self, limited: _Limited) -> bool:
-        since_s = limited.unanswered_since_s
+    def _is_unresponsive(self, limit: _LimitState) -> bool:
+        since_s = limit.unanswered_since_s
         return since_s is not None and self._clock() - since_s > UNRESPONSIVE_S
 
-    def _choose_allocator(self, incarnation: str, limited: _Limited, peers: list[Peer]) -> str:
-        """Return the gateway to ask; who is of another hall cannot know who hears whom there."""
-        order = self._order_allocators(incarnation, limited.hall, peers)
+    def _choose_allocator(self, incarnation: str, limit: _LimitState, peers: list[Peer]) -> str:
+        """Return the gateway to request tokens from.
+
+        Gateways of other halls do not know which gateways of the hall can reach each other, so
+        they skip allocators that do not answer.
+        """
+        order = self._rank_allocators(incarnation, limit.hall, peers)
         if self._name in order:
-            return self._find_allocator(incarnation, limited, peers)
-        if self._is_unresponsive(limited):
-            limited.passed_over += 1
-            limited.unanswered_since_s = None
-        return order[limited.passed_over % len(order)]
-
-    def _find_allocator(self, incarnation: str, limited: _Limited, peers: list[Peer]) -> str:
-        """Return the allocator as those who may grant know it: the first that is heard."""
+            return self._find_allocator(incarnation, limit, peers)
+        if self._is_unresponsive(limit):
+            limit.skipped_allocators += 1
+            limit.unanswered_since_s = None
+        return order[limit.skipped_allocators % len(order)]
+
+    def _find_allocator(self, incarnation: str, limit: _LimitState, peers: list[Peer]) -> str:
+        """Return the allocator as seen by the candidates: the first one heard from recently."""
         heard = {peer.name for peer in peers if peer.is_heard} | {self._name}
-        order = self._order_allocators(incarnation, limited.hall, peers)
+        order = self._rank_allocators(incarnation, limit.hall, peers)
         return next((name for name in order if name in heard), "")
 
-    def _order_allocators(self, incarnation: str, hall: str, peers: list[Peer]) -> list[str]:
-        """Return who may grant for an upstream: the gateways of its hall, or of the next in order.
+    def _rank_allocators(self, incarnation: str, hall: str, peers: list[Peer]) -> list[str]:
+        """Return the candidate allocators of an upstream in order of preference.
 
-        They are of one hall also where its own has none: halls may not hear each other.
+        They are all in the same hall, also if the upstream's own hall has no gateway, because halls
+        may be disconnected from each other.
         """
         halls = {self._name: self._hall, **{peer.name: peer.hall for peer in peers}}
         if hall not in halls.values():
@@ -260,26 +270,26 @@
         names = [name for name, own_hall in halls.items() if own_hall == hall]
         return sorted(names, key=lambda name: score(incarnation, name), reverse=True)
 
-    def _take_wanted(self, incarnation: str, asker: str, wanted: int) -> None:
+    def _add_request(self, incarnation: str, requester: str, wanted: int) -> None:
         now_s = self._clock()
         allocation = self._allocations.get(incarnation)
         if allocation is None:
-            rate_per_s = self._limited[incarnation].rate_per_s
+            rate_per_s = self._limits[incarnation].rate_per_s
             begins_at_s = max(now_s, self._grants_from_s)
             allocation = self._allocations[incarnation] = _Allocation(rate_per_s, begins_at_s)
             log_event(_LOG, "limit_allocated", incarnation=incarnation, rate_per_s=rate_per_s)
         if wanted > 0:
-            known = allocation.askers.setdefault(asker, _Asker(0, now_s))
-            known.wanted = min(MAX_WANTED, wanted)
-            known.until_s = now_s + ASK_LIFE_S
+            known = allocation.pending.setdefault(requester, _PendingRequest(0, now_s))
+            known.wanted = min(MAX_REQUESTED_TOKENS, wanted)
+            known.expires_at_s = now_s + TOKEN_REQUEST_LIFE_S
 
     def _grant(self, answers: dict[str, dict[str, int]]) -> None:
-        """Grant what there is, and send it with the answers that are due anyway."""
+        """Grant available tokens and send them together with the pending `answers`."""
         now_s = self._clock()
         for incarnation, allocation in self._allocations.items():
             if now_s < self._grants_from_s:
                 continue
-            allocation.fill(self._limited[incarnation].rate_per_s, now_s)
+            allocation.fill(self._limits[incarnation].rate_per_s, now_s)
             for name, tokens in allocation.grant(now_s).items():
                 answers.setdefault(name, {})[incarnation] = tokens
         own = answers.pop(self._name, None)
@@ -289,5 +299,5 @@
             self.take_grant(TokenGrant(own))
 
 
-def _ask_interval_s(peers: int) -> float:
-    return max(MIN_ASK_INTERVAL_S, peers / ASKS_PER_S)
+def _request_interval_s(peers: int) -> float:
+    return max(MIN_REQUEST_INTERVAL_S, peers / TOKEN_REQUESTS_PER_S)
--- a/dalehollow/gateway/retries.py
+++ b/dalehollow/gateway/retries.py
@@ -1,4 +1,4 @@
-"""Bound repeats by what was asked for in a sliding window."""
+"""Limit retries to a share of the requests received in a sliding window."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 STARTUP_SHARE = 1 / 3
 """Share of its budget that a process may use until it has run for a full window. A restarted
-process does not know how many repeats its predecessor sent within the window."""
+process does not know how many retries its predecessor sent within the window."""
 
 
 @dataclass
 class RetryWindow:
-    """Count first tries and repeats to one service; times are monotonic seconds.
+    """Count first attempts and retries to one service; times are monotonic seconds.
 
-    A repeat is allowed while the repeats of the window stay below a share of its first tries
+    A retry is allowed while the retries in the window stay below a share of its first attempts
     plus a fixed extra. Until a window has passed since `started_at_s`, the extra accrues linearly
     and only `STARTUP_SHARE` of the sum is allowed. `rounding_offset`, drawn uniformly from
     [0, 1), is added before the limit is truncated to an integer, so that the limits of many
@@ -27,41 +27,41 @@
     started_at_s: float = float("-inf")
     rounding_offset: float = 0.0
     _firsts: deque[float] = field(default_factory=deque)
-    _repeats: deque[float] = field(default_factory=deque)
+    _retries: deque[float] = field(default_factory=deque)
 
-    def note_first(self, now_s: float) -> None:
-        """Count a first try."""
+    def count_first_attempt(self, now_s: float) -> None:
+        """Count a first attempt."""
         self._firsts.append(now_s)
-        self._forget(now_s)
+        self._expire(now_s)
 
     def take_repeat(self, now_s: float) -> bool:
-        """Count a repeat if the window has room for one."""
-        if self.count_room(now_s) < 1:
+        """Count a retry if the budget allows one."""
+        if self.count_available(now_s) < 1:
             return False
-        self._repeats.append(now_s)
+        self._retries.append(now_s)
         return True
 
-    def note_sent(self, taken_at_s: float, now_s: float) -> None:
-        """Count a repeat from the time it is sent instead of the time it was taken."""
-        self.give_back(taken_at_s)
-        self._repeats.append(now_s)
+    def mark_sent(self, taken_at_s: float, now_s: float) -> None:
+        """Count a retry from the time it is sent instead of the time it was taken."""
+        self.release(taken_at_s)
+        self._retries.append(now_s)
 
-    def give_back(self, taken_at_s: float) -> None:
-        """Stop counting a repeat that was taken at `taken_at_s`, if it is still in the window."""
-        if taken_at_s in self._repeats:
-            self._repeats.remove(taken_at_s)
+    def release(self, taken_at_s: float) -> None:
+        """Stop counting a retry that was taken at `taken_at_s`, if it is still in the window."""
+        if taken_at_s in self._retries:
+            self._retries.remove(taken_at_s)
 
-    def count_room(self, now_s: float) -> int:
-        """Return how many more repeats the window has room for."""
-        self._forget(now_s)
-        return int(self._count_allowed(now_s) + self.rounding_offset) - len(self._repeats)
+    def count_available(self, now_s: float) -> int:
+        """Return how many more retries the budget allows."""
+        self._expire(now_s)
+        return int(self._count_allowed(now_s) + self.rounding_offset) - len(self._retries)
 
     def describe(self, now_s: float) -> dict[str, object]:
         """Return the counts and limits that decide whether the next retry is allowed."""
-        room = self.count_room(now_s)
+        room = self.count_available(now_s)
         return {
             "first_tries": len(self._firsts),
-            "retries": len(self._repeats),
+            "retries": len(self._retries),
             "room": room,
             "extra": round(self.extra, 2),
         }
@@ -73,8 +73,8 @@
             return proportional + self.extra
         return STARTUP_SHARE * (proportional + self.extra * age_s / self.window_s)
 
-    def _forget(self, now_s: float) -> None:
+    def _expire(self, now_s: float) -> None:
         oldest_s = now_s - self.window_s
-        for times in (self._firsts, self._repeats):
+        for times in (self._firsts, self._retries):
             while times and times[0] <= oldest_s:
                 times.popleft()
--- a/dalehollow/gateway/state.py
+++ b/dalehollow/gateway/state.py
@@ -196,11 +196,11 @@
         if (has_limit or signals.limit_per_s is not None) and not signals.is_limit_unusable:
             self.upstreams.note_limit(upstream, signals.limit_per_s, loop.time())
             self.on_change()
-        if signals.rest_s:
-            upstream.note_rest(signals.rest_s, loop.time())
-            log_event(_LOG, "upstream_rests", incarnation=incarnation, for_s=signals.rest_s)
+        if signals.backoff_s:
+            upstream.note_rest(signals.backoff_s, loop.time())
+            log_event(_LOG, "upstream_rests", incarnation=incarnation, for_s=signals.backoff_s)
             self.grant_all()
-            loop.call_later(signals.rest_s, self.grant_all)
+            loop.call_later(signals.backoff_s, self.grant_all)
 
     async def look_for_crash(self, listed: ListedUpstream) -> None:
         """See by its port whether an upstream has crashed; wait as long as one that runs needs."""
@@ -214,7 +214,7 @@
             connection = await connect(listed.address, self.connect_timeout_s)
         except ConnectError as exc:
             if exc.is_refused:
-                self.crashes.note_dead(listed)
+                self.crashes.note_port_closed(listed)
             return
         connection.abort()
 
@@ -225,7 +225,7 @@
         """
         moves = [m for m in self.upstreams.list_moves(group_key) if not m.is_asked]
         window = self.retry_window(read_service(group_key))
-        room = window.count_room(asyncio.get_running_loop().time()) // 2
+        room = window.count_available(asyncio.get_running_loop().time()) // 2
         if moves:
             log_event(_LOG, "requests_moved", group=group_key, count=len(moves[:room]), room=room)
         for move in moves[:room]:
--- a/dalehollow/gateway/upstreams.py
+++ b/dalehollow/gateway/upstreams.py
@@ -229,11 +229,11 @@
         now_s: float,
         closed_groups: Collection[str] = (),
         *,
-        wants_tokens: bool = False,
+        requests_tokens: bool = False,
     ) -> Upstream | None:
         """Choose the least busy candidate with a free slot, or None where none has one.
 
-        With `wants_tokens` a token is asked for where it is all that an upstream lacks.
+        With `requests_tokens` a token is requested if an upstream lacks nothing else.
         """
         staying = self.list_candidates(service, tried, now_s, closed_groups)
         # A slow rank holds its whole group up by each request that it gets: rather wait.
@@ -245,9 +245,9 @@
             best = min(free, key=lambda u: (self._rank_by_load(u, now_s), self.rng.random()))
             if self._may_send(best):
                 return best
-            if wants_tokens and self.tokens is not None:
+            if requests_tokens and self.tokens is not None:
                 # Where the allocator may not answer, the next best is wanted too.
-                wants_tokens = not self.tokens.want(best.listed.incarnation)
+                requests_tokens = not self.tokens.request_token(best.listed.incarnation)
                 if self._may_send(best):
                     return best
             free.remove(best)
--- a/tests/limit_world.py
+++ b/tests/limit_world.py
@@ -131,7 +131,7 @@
         if limit_per_s is not None:
             self.known_at_s.setdefault(incarnation, loop.time())
         self.state.note_signals(place, Signals(limit_per_s=limit_per_s))
-        admission.give_back(place)
+        admission.release(place)
         self.served += 1
 
 
--- a/tests/retry_fleet.py
+++ b/tests/retry_fleet.py
@@ -178,7 +178,7 @@
         if accepted_s - at_s > CALLER_TIMEOUT_S:
             return
         window = self._states[number].retry_window(SERVICE)
-        window.note_first(accepted_s)
+        window.count_first_attempt(accepted_s)
         if self._fails(accepted_s) and window.take_repeat(accepted_s):
             self._result.retries_s.append(accepted_s)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -103,7 +103,7 @@
         place = places[0]
         assert isinstance(place, Upstream)
         for _ in range(3):
-            desk.admission.give_back(place)
+            desk.admission.release(place)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         assert order == ["returned", "urgent", "usual"]
@@ -119,7 +119,7 @@
         await asyncio.gather(waiting, return_exceptions=True)
         assert desk.admission.waiting == []
         assert isinstance(places[0], Upstream)
-        desk.admission.give_back(places[0])
+        desk.admission.release(places[0])
         assert sum(u.in_hand for u in desk.upstreams) == SLOTS - 1
 
     _run(scenario)
@@ -133,7 +133,7 @@
         place = places[0]
         assert isinstance(place, Upstream)
         # Release the slot before the cancelled task has run.
-        desk.admission.give_back(place)
+        desk.admission.release(place)
         assert isinstance(await staying, Upstream)
         await asyncio.gather(leaving, return_exceptions=True)
         assert sum(u.in_hand for u in desk.upstreams) == SLOTS
@@ -236,7 +236,7 @@
         await asyncio.sleep(0)
         first = await desk.wait(priority=9)
         place = next(p for p in places if isinstance(p, Upstream) and p.listed.incarnation == "u0")
-        desk.admission.give_back(place)
+        desk.admission.release(place)
         granted = await first
         assert isinstance(granted, Upstream) and granted.listed.incarnation == "u0"
         assert not again.done()
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""Check which requests are suspected to crash upstreams, and for how long they are refused."""
+"""Test which requests are suspected of crashing upstreams and how long they are refused."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 
 
 class _Desk:
-    """Hold one watch and its clock."""
+    """Provide a `CrashWatch` with a manual clock."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
-        self.told = 0
+        self.reported = 0
         self.watch = CrashWatch(self.clock, self._note_change)
 
     def _note_change(self) -> None:
-        self.told += 1
+        self.reported += 1
 
     def crash(self, number: int, *names: bytes) -> None:
-        """Have an upstream crash with some requests in hand."""
+        """Crash an upstream while some requests are in flight."""
         upstream = _upstream(number)
         for name in names:
-            self.watch.note_cut(lambda n=name: n, upstream)  # type: ignore[misc]
+            self.watch.note_broken_attempt(lambda n=name: n, upstream)  # type: ignore[misc]
         self.watch.note_started(_restart(upstream))
 
     def count(self, name: bytes) -> int:
@@ -73,7 +73,7 @@
 def test_a_broken_connection_alone_is_no_crash() -> None:
     desk = _Desk()
     for number in range(5):
-        desk.watch.note_cut(lambda: CRASHING, _upstream(number))
+        desk.watch.note_broken_attempt(lambda: CRASHING, _upstream(number))
     assert desk.count(CRASHING) == 0
     assert desk.refused_s(CRASHING) == 0.0
 
@@ -83,8 +83,8 @@
     by_list, by_answer = _upstream(1, is_leaving=True), _upstream(2)
     by_answer.said.is_leaving = True
     for upstream in (by_list, by_answer):
-        desk.watch.note_cut(lambda: CRASHING, upstream)
-        desk.watch.note_dead(upstream.listed)
+        desk.watch.note_broken_attempt(lambda: CRASHING, upstream)
+        desk.watch.note_port_closed(upstream.listed)
         desk.watch.note_started(_restart(upstream))
     assert desk.count(CRASHING) == 0
 
@@ -107,7 +107,7 @@
         started = replace(upstream.listed, **changes)  # type: ignore[arg-type]
         if is_known_before:
             desk.watch.note_started(started)
-        desk.watch.note_cut(lambda: CRASHING, upstream)
+        desk.watch.note_broken_attempt(lambda: CRASHING, upstream)
         if not is_known_before:
             desk.watch.note_started(started)
         assert desk.count(CRASHING) == crashes
@@ -115,18 +115,18 @@
 
 def test_only_what_broke_off_with_it_is_suspected() -> None:
     desk, upstream = _Desk(), _upstream()
-    desk.watch.note_cut(lambda: HARMLESS, upstream)
+    desk.watch.note_broken_attempt(lambda: HARMLESS, upstream)
     desk.clock.now_s += 5.0
-    desk.watch.note_cut(lambda: CRASHING, upstream)
-    desk.watch.note_dead(upstream.listed)
+    desk.watch.note_broken_attempt(lambda: CRASHING, upstream)
+    desk.watch.note_port_closed(upstream.listed)
     assert (desk.count(CRASHING), desk.count(HARMLESS)) == (1, 0)
 
 
 def test_what_broke_off_long_before_is_forgotten() -> None:
     desk, upstream = _Desk(), _upstream()
-    desk.watch.note_cut(lambda: CRASHING, upstream)
+    desk.watch.note_broken_attempt(lambda: CRASHING, upstream)
     desk.clock.now_s += crashes_module.RESTART_S + 1
-    desk.watch.note_cut(lambda: HARMLESS, _upstream(1))
+    desk.watch.note_broken_attempt(lambda: HARMLESS, _upstream(1))
     desk.watch.note_started(_restart(upstream))
     assert desk.count(CRASHING) == 0
 
@@ -135,8 +135,8 @@
     desk, other = _Desk(), _Desk()
     upstream = _upstream()
     for watch in (desk.watch, other.watch):
-        watch.note_cut(lambda: CRASHING, upstream)
-        watch.note_dead(upstream.listed)
+        watch.note_broken_attempt(lambda: CRASHING, upstream)
+        watch.note_port_closed(upstream.listed)
         watch.note_started(_restart(upstream))
     for _ in range(3):
         desk.watch.take_told(other.watch.tell())
@@ -166,7 +166,7 @@
     desk.watch.note_answered(HARMLESS)
     other.watch.take_told(desk.watch.tell())
     assert other.count(HARMLESS) == 0
-    # What a third gateway knew before takes nothing back.
+    # An outdated report from a third gateway does not restore the cleared suspicion.
     late = {name: replace_ages(suspicion, 1.0) for name, suspicion in before.items()}
     other.watch.take_told(late)
     desk.watch.take_told(late)
@@ -175,13 +175,13 @@
 
 
 def test_what_many_callers_send_is_not_suspected_for_being_there() -> None:
-    """It is answered all the time, also between a crash and the moment at which that shows."""
+    """A common request is answered constantly, also between a crash and its detection."""
     desk, other = _Desk(), _Desk()
     for number in range(4):
         upstream = _upstream(number)
         for gateway in (desk, other):
-            gateway.watch.note_cut(lambda: HARMLESS, upstream)
-            gateway.watch.note_cut(lambda: CRASHING, upstream)
+            gateway.watch.note_broken_attempt(lambda: HARMLESS, upstream)
+            gateway.watch.note_broken_attempt(lambda: CRASHING, upstream)
         # Only one of the gateways sees it answered.
         desk.watch.note_answered(HARMLESS)
         for gateway in (desk, other):
@@ -194,7 +194,7 @@
 
 
 def replace_ages(suspicion: crashes_module.Suspicion, more_s: float) -> crashes_module.Suspicion:
-    """Return a suspicion as it would be told later."""
+    """Return a suspicion as it would be reported later."""
     ages = {name: age_s + more_s for name, age_s in suspicion.crashes.items()}
     return crashes_module.Suspicion(ages)
 
@@ -207,7 +207,7 @@
     assert not desk.watch.may_try_again(lambda: CRASHING)
     assert desk.refused_s(CRASHING) == 0.0
     desk.crash(2, CRASHING)
-    assert desk.refused_s(CRASHING) == pytest.approx(crashes_module.REFUSED_S)
+    assert desk.refused_s(CRASHING) == pytest.approx(crashes_module.REFUSAL_S)
 
 
 def test_one_probe_at_a_time_follows_and_longer_refusals_follow_it() -> None:
@@ -233,7 +233,7 @@
     desk = _Desk()
     for number in range(3):
         desk.crash(number, HARMLESS)
-    desk.clock.now_s += crashes_module.REFUSED_S + 0.1
+    desk.clock.now_s += crashes_module.REFUSAL_S + 0.1
     assert desk.refused_s(HARMLESS) == 0.0
     desk.watch.note_answered(HARMLESS)
     assert desk.refused_s(HARMLESS) == 0.0
@@ -242,10 +242,10 @@
 
 def test_suspicions_are_bounded_and_forgotten() -> None:
     desk = _Desk()
-    for number in range(crashes_module.MOST_SUSPECTS + 100):
+    for number in range(crashes_module.MAX_SUSPECTS + 100):
         desk.crash(number, b"%d" % number)
-    assert len(desk.watch._suspects) == crashes_module.MOST_SUSPECTS
-    assert len(desk.watch.tell()) == crashes_module.MOST_TOLD
-    desk.clock.now_s += crashes_module.KEPT_S + 1
+    assert len(desk.watch._suspects) == crashes_module.MAX_SUSPECTS
+    assert len(desk.watch.tell()) == crashes_module.MAX_REPORTED_SUSPECTS
+    desk.clock.now_s += crashes_module.SUSPICION_RETENTION_S + 1
     assert desk.watch.tell() == {}
     assert desk.watch._suspects == {}
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -176,7 +176,7 @@
 def test_repeats_stay_within_their_share_of_a_sliding_window() -> None:
     window = RetryWindow(window_s=10.0, share=0.2, extra=2.0)
     for number in range(10):
-        window.note_first(float(number))
+        window.count_first_attempt(float(number))
     taken = sum(window.take_repeat(9.5) for _ in range(10))
     assert taken == 4
     # At 12.5 s the first tries of the first seconds have left the window: fewer may follow.
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -189,13 +189,13 @@
 
 def test_retry_window_limits_the_budget_after_startup() -> None:
     window = RetryWindow(window_s=10.0, share=0.2, extra=6.0, started_at_s=100.0)
-    assert window.count_room(100.0) == 0
-    assert window.count_room(105.0) == 1
+    assert window.count_available(100.0) == 0
+    assert window.count_available(105.0) == 1
     for _ in range(60):
-        window.note_first(105.0)
-    assert window.count_room(105.0) == 5
-    assert window.count_room(109.99) == 5
-    assert window.count_room(110.0) == 18
+        window.count_first_attempt(105.0)
+    assert window.count_available(105.0) == 5
+    assert window.count_available(109.99) == 5
+    assert window.count_available(110.0) == 18
 
 
 @pytest.mark.parametrize("way", [Way.CUT_UNANSWERED, Way.ERROR, Way.REFUSE])
@@ -220,7 +220,7 @@
     window = RetryWindow(window_s=10.0, share=0.2, extra=4.0)
     assert [window.take_repeat(0.0) for _ in range(5)] == [True, True, True, True, False]
     for _ in range(4):
-        window.note_sent(0.0, 6.0)
+        window.mark_sent(0.0, 6.0)
     assert not window.take_repeat(12.0)
     assert window.take_repeat(16.0)
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,11 +1,11 @@
-"""Check what is read of the words of upstreams, usable or not."""
+"""Test the parsing of the headers in which upstreams report their state."""
 
 from __future__ import annotations
 
 import pytest
 
 from dalehollow.aio import AnswerHead
-from dalehollow.gateway.signals import MAX_REST_S, Signals, read_signals
+from dalehollow.gateway.signals import MAX_BACKOFF_S, Signals, read_signals
 from dalehollow.platform.names import HEADERS
 
 UNUSABLE = (
@@ -30,19 +30,19 @@
 
 
 @pytest.mark.parametrize("value", UNUSABLE)
-def test_an_unusable_rest_says_nothing(value: str) -> None:
+def test_an_unusable_backoff_says_nothing(value: str) -> None:
     signals = read_signals(_head(("retry-after", value)), HEADERS)
-    assert signals.rest_s == 0.0
+    assert signals.backoff_s == 0.0
     assert signals.unusable == (value.encode(),)
 
 
 def test_a_date_says_nothing() -> None:
     head = _head(("retry-after", "Wed, 21 Oct 2026 07:28:00 GMT"))
-    assert read_signals(head, HEADERS).rest_s == 0.0
+    assert read_signals(head, HEADERS).backoff_s == 0.0
 
 
 @pytest.mark.parametrize(
-    ("values", "rest_s"),
+    ("values", "backoff_s"),
     [
         (["3"], 3.0),
         (["0.25"], 0.25),
@@ -50,12 +50,12 @@
         (["1", "3", "2"], 3.0),
         (["1, 3"], 3.0),
         (["soon", "2"], 2.0),
-        (["999999999999"], MAX_REST_S),
+        (["999999999999"], MAX_BACKOFF_S),
     ],
 )
-def test_of_several_rests_the_longest_usable_holds(values: list[str], rest_s: float) -> None:
+def test_of_several_backoffs_the_longest_usable_holds(values: list[str], backoff_s: float) -> None:
     head = _head(*(("retry-after", value) for value in values))
-    assert read_signals(head, HEADERS).rest_s == rest_s
+    assert read_signals(head, HEADERS).backoff_s == backoff_s
 
 
 @pytest.mark.parametrize("status", [200, 429, 500])
