--- a/dalehollow/gateway/attempt.py
+++ b/dalehollow/gateway/attempt.py
@@ -55,7 +55,9 @@
 ) -> bytes:
     """Return the caller's request head with hop-by-hop and gateway headers replaced."""
     request = job.request
-    dropped = HOP_HEADERS | names.set_here() | _named_in_connection(request.get(b"connection"))
+    dropped = (
+        HOP_HEADERS | names.list_overridden() | _named_in_connection(request.get(b"connection"))
+    )
     if resume_after is not None:
         dropped |= {names.last_event_id}
     left_ms = max(1, round((job.deadline_s - now_s) * _MS_PER_S))
@@ -133,7 +135,7 @@
     value = head.get(names.load)
     parts = value.split(b",") if value else []
     if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
-        upstream.note_told(int(parts[0]) + int(parts[1]), now_s)
+        upstream.note_reported_load(int(parts[0]) + int(parts[1]), now_s)
 
 
 def _named_in_connection(value: bytes | None) -> frozenset[bytes]:
--- a/dalehollow/gateway/events.py
+++ b/dalehollow/gateway/events.py
@@ -1,4 +1,4 @@
-"""Split a stream into whole events, so that a broken one can go on elsewhere."""
+"""Split a stream into complete events, so that a broken stream can be resumed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def _find_boundary(data: bytes, start: int) -> int:
-    """Return the index after the first blank line from `start` on, or -1."""
+    """Return the index after the first blank line at or after `start`, or -1."""
     ends = [
         idx + len(mark) for mark in (b"\n\n", b"\r\n\r\n") if (idx := data.find(mark, start)) >= 0
     ]
@@ -16,7 +16,7 @@
 
 
 def read_event_id(event: bytes) -> bytes | None:
-    """Return the id that an event carries."""
+    """Return the ID of an event, if it has one."""
     for line in event.splitlines():
         if line.startswith(_ID_FIELD):
             return line[len(_ID_FIELD) :].strip()
@@ -25,14 +25,14 @@
 
 @dataclass
 class EventSplitter:
-    """Hold the part of an event that has come, and the number and last id of the whole ones."""
+    """Buffer an incomplete event; count complete events with IDs and keep the last ID."""
 
     last_id: bytes | None = None
     count: int = 0
     _partial: bytes = field(default=b"")
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that are now complete, as they were sent."""
+        """Return the events completed by `data`, unmodified."""
         pending = self._partial + data
         done = 0
         while (end := _find_boundary(pending, done)) >= 0:
@@ -44,11 +44,11 @@
         self._partial = pending[done:]
         return pending[:done]
 
-    def take_rest(self) -> bytes:
-        """Return what follows the last whole event."""
+    def flush(self) -> bytes:
+        """Return and clear the data after the last complete event."""
         rest, self._partial = self._partial, b""
         return rest
 
-    def drop_rest(self) -> None:
-        """Forget a part of an event whose source broke off."""
+    def discard_partial(self) -> None:
+        """Discard an incomplete event after its connection broke."""
         self._partial = b""
--- a/dalehollow/gateway/exchange.py
+++ b/dalehollow/gateway/exchange.py
@@ -171,7 +171,7 @@
         if move.why is MoveReason.SLOW_RANK:
             return
         self._state.crashes.note_broken_attempt(self._make_fingerprint, upstream)
-        await self._state.look_for_crash(upstream.listed)
+        await self._state.check_for_crash(upstream.listed)
 
     def _make_fingerprint(self) -> Fingerprint:
         return make_fingerprint(self._job)
@@ -187,7 +187,7 @@
             else:
                 self._state.upstreams.note_failure(upstream, self._clock(), is_unreachable=False)
                 self._note_attempt(upstream, "answer_broken", str(exc))
-            self._progress.splitter.drop_rest()
+            self._progress.splitter.discard_partial()
             return False
         finally:
             answered.connection.abort()
@@ -274,7 +274,7 @@
                     self._note_answer_latency()
                 last_s = now_s
             await self._caller.send_piece(events)
-        await self._caller.send_piece(splitter.take_rest())
+        await self._caller.send_piece(splitter.flush())
         self._caller.end_stream()
 
     def _note_answer_latency(self) -> None:
--- a/dalehollow/gateway/headers.py
+++ b/dalehollow/gateway/headers.py
@@ -1,4 +1,4 @@
-"""Name the headers that a gateway reads and sets, whatever a platform calls them."""
+"""Define the headers that a gateway reads and sets; their names depend on the platform."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class HeaderNames:
-    """Hold header names in lower case, by what they mean here."""
+    """Hold the lower-case header names by purpose."""
 
     request_id: bytes
     time_left_ms: bytes
@@ -26,8 +26,8 @@
     leaving: bytes
     limit_per_s: bytes
 
-    def set_here(self) -> frozenset[bytes]:
-        """Return the headers of a caller that never reach an upstream as the caller sent them."""
+    def list_overridden(self) -> frozenset[bytes]:
+        """Return the headers that are replaced or removed from the caller's request."""
         return frozenset(
             {
                 self.time_left_ms,
@@ -54,4 +54,4 @@
         b"expect",
     }
 )
-"""Headers that concern one connection only (RFC 9110, 7.6.1), and the framing, which is redone."""
+"""Hop-by-hop headers (RFC 9110, section 7.6.1) and headers that change with the framing."""
--- a/dalehollow/gateway/state.py
+++ b/dalehollow/gateway/state.py
@@ -1,4 +1,4 @@
-"""Hold what all requests of a gateway share."""
+"""Hold the state shared by all requests of a gateway."""
 
 from __future__ import annotations
 
@@ -23,13 +23,14 @@
 from dalehollow.telemetry.logs import log_event
 from dalehollow.telemetry.metrics import Metrics
 
-SAFETY_SHARE = 2 / 3
-"""Share of the repeats allowed to all gateways together that is allocated to them. The rest covers
-additional repeats of restarted gateways (`STARTUP_SHARE`), repeats that arrive late, and gateways
-that temporarily disagree on their number."""
+ALLOCATED_SHARE = 2 / 3
+"""Share of the total retry budget that is allocated to gateways. The remainder covers additional
+retries of restarted gateways (`STARTUP_SHARE`), retries that arrive late, and gateways that
+temporarily disagree on their number."""
 
-LOOK_WAIT_S = 0.02
-"""A few round trips to another hall: a request that broke off goes on elsewhere after this."""
+CRASH_CHECK_TIMEOUT_S = 0.02
+"""Longest delay of a retry while its upstream's port is checked, a few round trips to another
+hall."""
 
 _MS_PER_S = 1000
 
@@ -38,9 +39,10 @@
 
 @dataclass(frozen=True)
 class RetryLimits:
-    """Hold the bounds of repeats to one service by all gateways together.
+    """Hold the retry budget for one service, shared by all gateways.
 
-    `gateways` is how many share the extra repeats at least; more are counted as they appear.
+    `gateways` is the minimum number of gateways that `extra` is divided among; a larger number is
+    used once as many have been discovered.
     """
 
     window_s: float
@@ -55,7 +57,7 @@
 
 @dataclass
 class GatewayState:
-    """Hold the configuration in force, the upstreams and what is kept for each service."""
+    """Hold the current configuration, the upstreams and the state of each service."""
 
     names: HeaderNames
     rng: random.Random
@@ -63,7 +65,7 @@
     retry_limits: RetryLimits
     connect_timeout_s: float
     crashes: CrashWatch
-    # When the process started; by default long enough ago for the full retry budget.
+    # Start time of the process; the default gives the full retry budget immediately.
     started_at_s: float = float("-inf")
     health: GroupHealth = field(default_factory=GroupHealth)
     metrics: Metrics = field(default_factory=Metrics)
@@ -72,14 +74,14 @@
     admissions: dict[str, Admission] = field(default_factory=dict)
     pass_times: dict[str, PassTimes] = field(default_factory=dict)
     on_change: Callable[[], None] = _do_nothing
-    # What is known of the store just now, for the log lines of requests that are refused.
+    # Returns the state of the store for the log lines of refused requests.
     describe_store: Callable[[], dict[str, object]] = dict
     _retries: dict[str, RetryWindow] = field(default_factory=dict)
-    _most_gateways: int = 1
-    _looking: set[asyncio.Task[None]] = field(default_factory=set)
+    _max_gateways: int = 1
+    _crash_checks: set[asyncio.Task[None]] = field(default_factory=set)
 
     def take_table(self, table: RoutingTable) -> None:
-        """Put a configuration in force unless a newer one is."""
+        """Apply a configuration unless its version is already applied or older."""
         before = self.table.version if self.table is not None else 0
         if table.version <= before:
             return
@@ -95,17 +97,17 @@
         )
 
     def note_gateways(self, count: int) -> None:
-        """Share the extra repeats among the most gateways that were ever seen at once."""
-        self._most_gateways = max(self._most_gateways, count)
+        """Divide the extra retries by the largest number of gateways seen at the same time."""
+        self._max_gateways = max(self._max_gateways, count)
         for window in self._retries.values():
             window.extra = self._own_extra()
 
     def retry_window(self, service: str) -> RetryWindow:
-        """Return the window of repeats to a service."""
+        """Return the retry window of a service."""
         window = self._retries.get(service)
         if window is None:
             limits = self.retry_limits
-            share = limits.share * SAFETY_SHARE
+            share = limits.share * ALLOCATED_SHARE
             window = RetryWindow(
                 limits.window_s, share, self._own_extra(), self.started_at_s, self.rng.random()
             )
@@ -135,7 +137,7 @@
         return {service: window.describe(now_s) for service, window in self._retries.items()}
 
     def admission(self, service: str) -> Admission:
-        """Return what lets requests through to a service."""
+        """Return the admission control of a service."""
         admission = self.admissions.get(service)
         if admission is None:
             clock = asyncio.get_running_loop().time
@@ -144,7 +146,7 @@
         return admission
 
     def pass_times_of(self, listed: ListedUpstream) -> PassTimes:
-        """Return what follows the passes of an upstream's group, or of the upstream alone."""
+        """Return the pass times of an upstream's rank group, or of its service without a group."""
         key, service = listed.group_key, listed.service
         pass_times = self.pass_times.get(key)
         if pass_times is None:
@@ -157,9 +159,10 @@
         return pass_times
 
     def expected_run_s(self, service: str, tokens: int, events: int = 0) -> float:
-        """Return how long so many tokens take at the present pace, 0 where that is unknown.
+        """Return the expected time to generate `tokens`, 0 if the current rate is unknown.
 
-        `events` of them, of a pass each, have come already: a broken stream goes on after them.
+        The passes of the `events` already received are deducted, because a broken stream resumes
+        after them.
         """
         engine = self._find_engine(service)
         if engine is None:
@@ -172,7 +175,7 @@
         return max(0.0, tokens / max(1, engine.steps_per_pass) - events) * min(passes_s)
 
     def pause_objective_s(self, service: str) -> float:
-        """Return the shortest pause objective of the streams that a service serves, 0 for none."""
+        """Return the shortest pause objective of a service's routes, 0 if there is none."""
         routes = self.table.routes if self.table is not None else ()
         objectives_ms = [
             route.pause_objective_ms
@@ -182,7 +185,7 @@
         return min(objectives_ms, default=0) / _MS_PER_S
 
     def note_signals(self, upstream: Upstream, signals: Signals) -> None:
-        """Take in what an upstream said of itself, and have all that wait judged by it."""
+        """Apply the state reported by an upstream and reconsider all waiting requests."""
         loop = asyncio.get_running_loop()
         incarnation = upstream.listed.incarnation
         for value in signals.unusable:
@@ -202,14 +205,14 @@
             self.grant_all()
             loop.call_later(signals.backoff_s, self.grant_all)
 
-    async def look_for_crash(self, listed: ListedUpstream) -> None:
-        """See by its port whether an upstream has crashed; wait as long as one that runs needs."""
-        looking = asyncio.get_running_loop().create_task(self._look_for_crash(listed))
-        self._looking.add(looking)
-        looking.add_done_callback(self._looking.discard)
-        await asyncio.wait({looking}, timeout=LOOK_WAIT_S)
+    async def check_for_crash(self, listed: ListedUpstream) -> None:
+        """Check for a closed port; return after `CRASH_CHECK_TIMEOUT_S` at the latest."""
+        check = asyncio.get_running_loop().create_task(self._check_for_crash(listed))
+        self._crash_checks.add(check)
+        check.add_done_callback(self._crash_checks.discard)
+        await asyncio.wait({check}, timeout=CRASH_CHECK_TIMEOUT_S)
 
-    async def _look_for_crash(self, listed: ListedUpstream) -> None:
+    async def _check_for_crash(self, listed: ListedUpstream) -> None:
         try:
             connection = await connect(listed.address, self.connect_timeout_s)
         except ConnectError as exc:
@@ -219,9 +222,10 @@
         connection.abort()
 
     def move_from_slow_ranks(self, group_key: str) -> None:
-        """Have requests at slow ranks go on elsewhere: each holds its whole group up.
+        """Move requests away from slow ranks, where each of them slows down the whole group.
 
-        A request whose repeat finds no room would be cut, so only half of the room is used.
+        A request without a retry in the budget would be cut off, so only half of the budget is
+        used.
         """
         moves = [m for m in self.upstreams.list_moves(group_key) if not m.is_asked]
         window = self.retry_window(read_service(group_key))
@@ -232,16 +236,16 @@
             move.ask(MoveReason.SLOW_RANK)
 
     def grant_all(self) -> None:
-        """Give free places to those that wait, after a change of what upstreams take."""
+        """Grant free slots to waiting requests after upstreams have changed."""
         for admission in self.admissions.values():
             admission.grant()
 
     def _own_extra(self) -> float:
-        return self.retry_limits.extra * SAFETY_SHARE / self._count_gateways()
+        return self.retry_limits.extra * ALLOCATED_SHARE / self._count_gateways()
 
     def _count_gateways(self) -> int:
-        """Return the number of gateways among which the extra repeats are divided."""
-        return max(self.retry_limits.gateways, self._most_gateways)
+        """Return the number of gateways that the extra retries are divided by."""
+        return max(self.retry_limits.gateways, self._max_gateways)
 
     def _pass_ms(self, service: str, batch: float) -> float:
         engine = self._find_engine(service)
--- a/dalehollow/gateway/table.py
+++ b/dalehollow/gateway/table.py
@@ -1,4 +1,4 @@
-"""Hold the routes, services and client accounts that a gateway serves, and look them up."""
+"""Define the routing table of a gateway: routes, services and client accounts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RequestKind(enum.StrEnum):
-    """Name what a request allows: a repeatable one may run again, a stream sends events."""
+    """List the kinds of requests: repeatable, executed at most once, or streamed as events."""
 
     REPEATABLE = "repeatable"
     ONCE = "once"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """Hold a service that a route leads to, and its share of the route's requests."""
+    """Hold a service of a route and its weight in the traffic split."""
 
     service: str
     weight: float
@@ -42,7 +42,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Return whether a request may run a second time, from its start or resumed."""
+        """Return whether a request may be executed again, from its start or resumed."""
         if self.kind is RequestKind.STREAM:
             return self.is_resumable
         return self.kind is RequestKind.REPEATABLE
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class ExpertFigures:
-    """Hold what is published of a rank group's experts, which stand at ranks layer by layer."""
+    """Hold the published figures of a rank group's experts, which are placed per layer."""
 
     layers: int
     experts: int
@@ -61,13 +61,13 @@
 
     @property
     def copy_s(self) -> float:
-        """Return how long a rank takes to copy one expert's weights."""
+        """Return the time a rank takes to copy the weights of one expert."""
         return self.expert_mb * 8 / self.link_mbps
 
 
 @dataclass(frozen=True)
 class EngineFigures:
-    """Hold what is published of a service's model engines; times in ms, rates in tokens."""
+    """Hold the published performance figures of a service's model engines."""
 
     slots: int
     step_ms: float
@@ -81,7 +81,7 @@
     experts: ExpertFigures | None = None
 
     def pass_ms(self, batch: float) -> float:
-        """Return how long a pass lasts with so many requests a rank, evenly loaded."""
+        """Return the duration of a forward pass with `batch` requests on each rank."""
         context_k = (self.usual_prompt_tokens + self.usual_answer_tokens / 2) / 1000
         per_request_ms = self.per_request_ms + self.per_1k_context_ms * context_k
         return self.steps_per_pass * (self.step_ms + per_request_ms * batch)
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True)
 class Service:
-    """Hold one service; `engine` is None for a plain one."""
+    """Hold one service; `engine` is None unless it runs models."""
 
     name: str
     max_connections: int
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """Bound what a caller may send, and how long it may take or rest."""
+    """Limit the size of requests and the time for sending one or staying idle."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True)
 class RoutingTable:
-    """Hold one whole configuration; a higher version replaces a lower one, never the reverse."""
+    """Hold one complete configuration; it is only replaced by one with a higher version."""
 
     version: int
     routes: tuple[Route, ...]
@@ -127,14 +127,14 @@
     _by_host: Mapping[str, Mapping[str, Route]] = field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
-        """Index the routes, so that a look-up costs a few dictionary reads at any size."""
+        """Index the routes so that the cost of a lookup does not depend on their number."""
         by_host: dict[str, dict[str, Route]] = {}
         for route in self.routes:
             by_host.setdefault(route.host.lower(), {})[route.path_prefix] = route
         object.__setattr__(self, "_by_host", by_host)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of this host with the longest prefix of the path."""
+        """Return the route of a host with the longest matching path prefix."""
         prefixes = self._by_host.get(host.lower())
         if prefixes is None:
             return None
--- a/dalehollow/gateway/upstream.py
+++ b/dalehollow/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""Hold what a gateway knows of one upstream."""
+"""Track the state of one upstream as seen by a gateway."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from dalehollow.aio import ClientConnection
 from dalehollow.gateway.listed import ListedUpstream
 
-EJECT_BASE_S = 0.5
-EJECT_MAX_S = 4.0
-"""Ejections double from the base, which is a few round trips, to a bound after which a server
-that came back is still found within the time that a caller waits."""
+MIN_EJECTION_S = 0.5
+MAX_EJECTION_S = 4.0
+"""Each ejection lasts twice as long as the previous one. The shortest lasts a few round trips; the
+longest still detects a recovered server within a caller's timeout."""
 FAILURE_WEIGHT = 0.2
-EJECT_FAILURE_SHARE = 0.5
+MAX_FAILURE_SHARE = 0.5
 MIN_SAMPLES = 4
-"""An upstream is ejected when half of its last few answers failed; plain services fail up to a
-seventh of their requests in ordinary operation, which stays far below."""
+"""An upstream is ejected when more than half of its recent answers failed. Plain services fail up
+to one seventh of their requests in normal operation, which is far below this."""
 TOLD_LIFE_S = 2.0
-"""A load told with an answer counts so long: about the time that a stream runs."""
+"""Validity of the load reported in an answer, about the duration of a stream."""
 
 
 class MoveReason(enum.StrEnum):
-    """Name why a try goes on at another upstream."""
+    """List the reasons for moving a request to another upstream."""
 
     SLOW_RANK = "slow_rank"
     RESTARTED = "upstream_restarted"
@@ -30,109 +30,112 @@
 
 @dataclass(eq=False)
 class Move:
-    """Hold a try that can go on at another upstream, and why it was asked to."""
+    """Hold an attempt that can move to another upstream, and the reason once it is told to."""
 
     connection: ClientConnection | None = None
     why: MoveReason | None = None
 
     @property
     def is_asked(self) -> bool:
-        """Return whether it was asked to go on."""
+        """Return whether the attempt was told to move."""
         return self.why is not None
 
     def ask(self, why: MoveReason) -> None:
-        """Break the try off; the request goes on elsewhere from where it is."""
+        """Abort the attempt; the request resumes at another upstream."""
         self.why = why
         if self.connection is not None:
             self.connection.abort()
 
 
 @dataclass
-class Said:
-    """Hold what an upstream said of itself in its answers, of one start of it."""
+class ReportedState:
+    """Hold the state that one run of an upstream reported in its answers."""
 
     started_at_ms: int
-    # It wants no request from this gateway until then.
+    # End of the backoff requested from this gateway.
     rests_until_s: float = float("-inf")
     is_leaving: bool = False
-    # Requests a second that it takes from all gateways together, None for any number, and when an
-    # answer of it last said so to any gateway.
+    # Limit of requests per second from all gateways together, None for no limit, and the time of
+    # the latest answer to any gateway that reported it.
     limit_per_s: float | None = None
     limit_told_at_s: float = float("-inf")
 
 
 @dataclass
 class Upstream:
-    """Hold the state of one upstream as this gateway sees it."""
+    """Hold the state of one upstream as seen by this gateway."""
 
     listed: ListedUpstream
-    said: Said
+    said: ReportedState
     in_hand: int = 0
     others_in_hand: int = 0
     unknown: int = 0
     unknown_at_s: float = float("-inf")
     ejected_until_s: float = 0.0
-    # Tries in hand that may go on elsewhere.
+    # Attempts in flight that can move to another upstream.
     moves: set[Move] = field(default_factory=set)
     _ejections: int = 0
     _failure_share: float = 0.0
     _samples: int = 0
 
     def takes_requests(self, now_s: float) -> bool:
-        """Return whether it may get a new request, once it has a free slot.
+        """Return whether the upstream accepts new requests once it has a free slot.
 
-        Nothing else decides this: what an upstream asks for binds also where no other is left.
+        This is not overridden when no other upstream is available.
         """
         return not self.is_leaving() and not self.rest_left_s(now_s)
 
     def is_leaving(self) -> bool:
-        """Return whether the list or an answer of its own said that it leaves.
+        """Return whether the list or one of its answers announced that the upstream is leaving.
 
-        Neither takes back what the other said: an answer is often sooner than the list.
+        Neither source overrides the other, because an answer often precedes the list.
         """
         return self.listed.is_leaving or self.said.is_leaving
 
     def load(self, now_s: float) -> float:
-        """Return the requests that are known or told to be there, for each slot."""
+        """Return the number of known and reported requests in flight per slot."""
         unknown = self.unknown if now_s - self.unknown_at_s < TOLD_LIFE_S else 0
         return (self.known_in_hand() + unknown) / max(1, self.listed.slots)
 
     def known_in_hand(self) -> int:
-        """Return the requests that this and the other gateways have there."""
+        """Return the number of requests in flight from this and the other gateways."""
         return self.in_hand + max(0, self.others_in_hand)
 
-    def note_told(self, told: int, now_s: float) -> None:
-        """Take the load that an answer told; what no gateway knows of is left by a lost one."""
-        self.note_unknown(max(0, told - self.known_in_hand()), now_s)
+    def note_reported_load(self, reported: int, now_s: float) -> None:
+        """Record the load reported in an answer.
+
+        Requests that no gateway knows of were left behind by a gateway that was lost.
+        """
+        self.note_unknown(max(0, reported - self.known_in_hand()), now_s)
 
     def note_unknown(self, unknown: int, at_s: float) -> None:
-        """Take how many requests nobody knows of, if that is newer than what is known."""
+        """Record the number of requests that no gateway knows of, unless a newer one is known."""
         if at_s > self.unknown_at_s:
             self.unknown, self.unknown_at_s = unknown, at_s
 
     def note_rest(self, rest_s: float, now_s: float) -> None:
-        """Take in that it wants no request from this gateway for a while."""
+        """Send no requests for the backoff that the upstream requested."""
         self.said.rests_until_s = max(self.said.rests_until_s, now_s + rest_s)
 
     def rest_left_s(self, now_s: float) -> float:
-        """Return for how long it still wants no request, 0 if it takes them."""
+        """Return the remaining backoff, 0 if there is none."""
         return max(0.0, self.said.rests_until_s - now_s)
 
     def note_answer(self, *, failed: bool) -> None:
-        """Count an answer, or a request that got none."""
+        """Record an answer, or a failure to answer, in the failure rate."""
         self._samples += 1
         self._failure_share += FAILURE_WEIGHT * (failed - self._failure_share)
         if not failed:
             self._ejections = 0
 
     def is_failing(self) -> bool:
-        """Return whether too many of the last requests failed."""
-        return self._samples >= MIN_SAMPLES and self._failure_share > EJECT_FAILURE_SHARE
+        """Return whether too many recent requests failed."""
+        return self._samples >= MIN_SAMPLES and self._failure_share > MAX_FAILURE_SHARE
 
     def eject(self, now_s: float) -> None:
-        """Keep requests away for a while, longer each time."""
-        pause_s = min(EJECT_MAX_S, EJECT_BASE_S * 2**self._ejections)
+        """Exclude the upstream from selection, for longer after each consecutive ejection."""
+        pause_s = min(MAX_EJECTION_S, MIN_EJECTION_S * 2**self._ejections)
         self._ejections += 1
         self.ejected_until_s = now_s + pause_s
-        # Judge it anew by what it does after the pause.
+        # Only results after the ejection count for the next one.
         self._failure_share, self._samples = 0.0, 0
--- a/dalehollow/gateway/upstreams.py
+++ b/dalehollow/gateway/upstreams.py
@@ -1,4 +1,4 @@
-"""Keep the upstreams that are listed, and choose one for a request."""
+"""Keep the listed upstreams and select one for each request."""
 
 from __future__ import annotations
 
@@ -10,57 +10,59 @@
 
 from dalehollow.gateway.limit_tokens import LimitTokens
 from dalehollow.gateway.listed import ListedUpstream
-from dalehollow.gateway.upstream import Move, MoveReason, Said, Upstream
+from dalehollow.gateway.upstream import Move, MoveReason, ReportedState, Upstream
 from dalehollow.telemetry.logs import log_event
 
 MAX_EJECTED_SHARE = 0.34
-FAR_SLOTS = 2.0
-"""An upstream of another hall must have so many more slots free: what is known of its load is older
-than that of the own hall, and of every four requests sent there one found no slot."""
-LIMIT_WAY_S = 0.1
-"""Longer than a report is on its way as a rule."""
-MAX_SAID_GONE = 1_000
-"""What so many upstreams said is kept once they are listed no more: an entry that lapsed comes
-again, and takes nothing of it back."""
+REMOTE_HALL_SLOTS = 2.0
+"""Number of additional free slots required to choose an upstream of another hall. Its reported load
+is older than that of the local hall; without this, one in four such requests found no slot."""
+MAX_REPORT_TRANSIT_S = 0.1
+"""Upper bound of the usual transit time of a report."""
+MAX_UNLISTED_STATES = 1_000
+"""Number of unlisted upstreams whose reported state is kept, because an expired list entry may
+reappear and does not reset that state."""
 
 _LOG = logging.getLogger(__name__)
 
 
 @dataclass
 class UpstreamSet:
-    """Hold all upstreams by incarnation; those that leave get no new request."""
+    """Hold all upstreams by incarnation; upstreams that are leaving get no new requests."""
 
     rng: random.Random
     hall: str = ""
-    # Set where other gateways may be there: what holds all of them to an upstream's limit.
+    # Enforces rate limits across gateways; None if there are no other gateways.
     tokens: LimitTokens | None = None
     _known: dict[str, Upstream] = field(default_factory=dict)
     _by_service: dict[str, dict[str, Upstream]] = field(default_factory=dict)
-    # By the key of the rank group, or by service for upstreams that stand alone.
+    # By key of the rank group, or by service for upstreams without a group.
     _by_group: dict[str, dict[str, Upstream]] = field(default_factory=dict)
     _slow_ranks: dict[str, frozenset[int]] = field(default_factory=dict)
-    # Kept also of upstreams that are not known yet: reports and lists come on different ways.
+    # Includes upstreams that are not listed yet, because reports may arrive before the list.
     _others_in_hand: Counter[str] = field(default_factory=Counter)
-    _said: dict[str, Said] = field(default_factory=dict)
+    _reported_states: dict[str, ReportedState] = field(default_factory=dict)
 
     def __iter__(self) -> Iterator[Upstream]:
-        """Go through all upstreams."""
+        """Iterate over all upstreams."""
         return iter(self._known.values())
 
     def put(self, listed: ListedUpstream) -> None:
-        """Add an upstream, or take what is newly said of it."""
+        """Add an upstream or update its list entry."""
         known = self._known.get(listed.incarnation)
         if known is not None and listed.started_at_ms == known.listed.started_at_ms:
             listed = known.listed.replace_with(listed)
         if known is not None and listed.started_at_ms < known.listed.started_at_ms:
             return
         if known is not None and listed.started_at_ms > known.listed.started_at_ms:
-            self._end_earlier_start(known)
+            self._remove_previous_run(known)
             known = None
         if known is None:
             others_in_hand = self._others_in_hand[listed.incarnation]
-            known = Upstream(listed, self._recall(listed), others_in_hand=others_in_hand)
-            self._tell_limit(known)
+            known = Upstream(
+                listed, self._find_reported_state(listed), others_in_hand=others_in_hand
+            )
+            self._forward_limit(known)
             self._known[listed.incarnation] = known
             log_event(_LOG, "upstream_up", incarnation=listed.incarnation, service=listed.service)
         elif listed.is_leaving and not known.listed.is_leaving:
@@ -82,39 +84,40 @@
         self._by_service.setdefault(listed.service, {})[listed.incarnation] = known
         self._by_group.setdefault(listed.group_key, {})[listed.incarnation] = known
 
-    def _recall(self, listed: ListedUpstream) -> Said:
-        """Return what an upstream said since it started, also before its entry lapsed."""
-        said = self._said.get(listed.incarnation)
+    def _find_reported_state(self, listed: ListedUpstream) -> ReportedState:
+        """Return the state that this run of an upstream reported, also before its entry expired."""
+        said = self._reported_states.get(listed.incarnation)
         if said is None or said.started_at_ms != listed.started_at_ms:
-            said = self._said[listed.incarnation] = Said(listed.started_at_ms)
+            said = self._reported_states[listed.incarnation] = ReportedState(listed.started_at_ms)
         return said
 
     def note_limit(self, upstream: Upstream, limit_per_s: float | None, at_s: float) -> None:
-        """Take in the limit that an answer of an upstream named, None where it named none."""
+        """Record the rate limit set by an answer, None if the answer sets none."""
         said = upstream.said
         if limit_per_s != said.limit_per_s:
             incarnation = upstream.listed.incarnation
             log_event(_LOG, "upstream_limit", incarnation=incarnation, limit_per_s=limit_per_s)
             said.limit_per_s = limit_per_s
-            self._tell_limit(upstream)
+            self._forward_limit(upstream)
         said.limit_told_at_s = at_s
 
     def note_limit_told(self, incarnation: str, limit_per_s: float | None, at_s: float) -> None:
-        """Take in what another gateway knows of an upstream's limit, if that is newer.
+        """Record a rate limit reported by another gateway if it is newer than the known one.
 
-        What is told grows younger by its way, so that it must be newer by more than that.
+        The reported age does not include the transit time, so the limit must be newer by more
+        than that.
         """
         known = self._known.get(incarnation)
-        if known is not None and at_s > known.said.limit_told_at_s + LIMIT_WAY_S:
+        if known is not None and at_s > known.said.limit_told_at_s + MAX_REPORT_TRANSIT_S:
             self.note_limit(known, limit_per_s, at_s)
 
-    def _tell_limit(self, upstream: Upstream) -> None:
+    def _forward_limit(self, upstream: Upstream) -> None:
         if self.tokens is not None:
             listed = upstream.listed
             self.tokens.note_limit(listed.incarnation, listed.hall, upstream.said.limit_per_s)
 
-    def _end_earlier_start(self, upstream: Upstream) -> None:
-        """Forget all of an upstream that has started again; what ran there can be no answer."""
+    def _remove_previous_run(self, upstream: Upstream) -> None:
+        """Remove the previous run of a restarted upstream, whose requests will get no answer."""
         log_event(
             _LOG,
             "upstream_restarted",
@@ -127,58 +130,60 @@
             move.ask(MoveReason.RESTARTED)
 
     def find(self, incarnation: str) -> ListedUpstream | None:
-        """Return what the list last said of an upstream."""
+        """Return the latest list entry of an upstream."""
         known = self._known.get(incarnation)
         return known.listed if known is not None else None
 
     def remove(self, incarnation: str) -> None:
-        """Forget an upstream that is gone."""
+        """Remove an upstream that is no longer listed."""
         known = self._known.pop(incarnation, None)
         if known is not None:
             self._drop_indexes(known.listed)
             log_event(_LOG, "upstream_gone", incarnation=incarnation)
             if self.tokens is not None:
                 self.tokens.note_limit(incarnation, known.listed.hall, None)
-            if len(self._said) > len(self._known) + MAX_SAID_GONE:
-                del self._said[next(name for name in self._said if name not in self._known)]
+            if len(self._reported_states) > len(self._known) + MAX_UNLISTED_STATES:
+                del self._reported_states[
+                    next(name for name in self._reported_states if name not in self._known)
+                ]
 
     def of_service(self, service: str) -> list[Upstream]:
-        """Return a service's upstreams that stay."""
+        """Return the upstreams of a service that are not leaving."""
         return [u for u in self._by_service.get(service, {}).values() if not u.is_leaving()]
 
     def of_group(self, group_key: str) -> list[Upstream]:
-        """Return a rank group's upstreams that stay."""
+        """Return the upstreams of a rank group that are not leaving."""
         return [u for u in self._by_group.get(group_key, {}).values() if not u.is_leaving()]
 
     def home_hall(self, group_key: str) -> str:
-        """Return the hall with the most of a group's upstreams, the first by name of several."""
+        """Return the hall with most upstreams of a group; ties are resolved by name."""
         halls = Counter(u.listed.hall for u in self.of_group(group_key))
         return max(sorted(halls), key=halls.__getitem__, default="")
 
     def groups_of(self, service: str) -> set[str]:
-        """Return the keys of the groups that a service's upstreams form."""
+        """Return the keys of the rank groups of a service."""
         return {u.listed.group_key for u in self.of_service(service)}
 
     def note_unknown(self, incarnation: str, unknown: int, at_s: float) -> None:
-        """Take what another gateway found that nobody has in hand at an upstream."""
+        """Record the number of requests that no gateway knows of, as another gateway found it."""
         known = self._known.get(incarnation)
         if known is not None:
             known.note_unknown(unknown, at_s)
 
     def note_slow_ranks(self, group_key: str, ranks: Collection[int]) -> None:
-        """Take which ranks of a group are slow for their own reasons."""
+        """Record which ranks of a group are slow for reasons other than their load."""
         if frozenset(ranks) != self._slow_ranks.get(group_key, frozenset()):
             log_event(_LOG, "slow_ranks", group=group_key, ranks=",".join(map(str, ranks)))
         self._slow_ranks[group_key] = frozenset(ranks)
 
     def list_moves(self, group_key: str) -> list[Move]:
-        """Return the tries in hand at slow ranks of a group."""
+        """Return the attempts in flight at the slow ranks of a group."""
         slow = self._slow_ranks.get(group_key, frozenset())
         upstreams = self._by_group.get(group_key, {}).values()
         return [m for u in upstreams if u.listed.group_rank in slow for m in u.moves]
 
     def add_others(self, incarnation: str, change: int) -> None:
-        """Change how many requests other gateways have at an upstream."""
+        """Adjust the number of requests that other gateways have in flight at an upstream."""
         self._others_in_hand[incarnation] += change
         if not self._others_in_hand[incarnation]:
             del self._others_in_hand[incarnation]
@@ -187,19 +192,19 @@
             known.others_in_hand += change
 
     def rest_left_s(self, service: str, now_s: float) -> float:
-        """Return how soon a service's first upstream takes requests, 0 where one does now."""
+        """Return the shortest remaining backoff of a service's upstreams, 0 if one has none."""
         return min((u.rest_left_s(now_s) for u in self.of_service(service)), default=0.0)
 
     def load_of(self, service: str, now_s: float) -> float:
-        """Return the share that is taken of the slots that a service's requests may get."""
-        return _share_taken([u for u in self.of_service(service) if u.takes_requests(now_s)])
+        """Return the share of occupied slots at upstreams that accept requests."""
+        return _occupied_share([u for u in self.of_service(service) if u.takes_requests(now_s)])
 
     def load_of_group(self, group_key: str) -> float:
-        """Return the share of a group's slots that is taken."""
-        return _share_taken(self.of_group(group_key))
+        """Return the share of occupied slots of a group."""
+        return _occupied_share(self.of_group(group_key))
 
     def mean_batch(self, group_key: str) -> float:
-        """Return the requests that a group's ranks have in hand on average."""
+        """Return the mean number of requests in flight per rank of a group."""
         upstreams = self.of_group(group_key)
         return sum(u.known_in_hand() for u in upstreams) / max(1, len(upstreams))
 
@@ -208,18 +213,18 @@
         service: str,
         tried: Collection[str],
         now_s: float,
-        closed_groups: Collection[str] = (),
+        excluded_groups: Collection[str] = (),
     ) -> list[Upstream]:
         """Return the upstreams that may get a request now or once they have a free slot.
 
-        Upstreams of `closed_groups` are left aside.
+        Upstreams of `excluded_groups` are excluded.
         """
         return [
             u
             for u in self.of_service(service)
             if u.takes_requests(now_s)
             and u.listed.incarnation not in tried
-            and u.listed.group_key not in closed_groups
+            and u.listed.group_key not in excluded_groups
         ]
 
     def choose(
@@ -227,26 +232,26 @@
         service: str,
         tried: Collection[str],
         now_s: float,
-        closed_groups: Collection[str] = (),
+        excluded_groups: Collection[str] = (),
         *,
         requests_tokens: bool = False,
     ) -> Upstream | None:
-        """Choose the least busy candidate with a free slot, or None where none has one.
+        """Choose the least loaded candidate with a free slot, or None if there is none.
 
         With `requests_tokens` a token is requested if an upstream lacks nothing else.
         """
-        staying = self.list_candidates(service, tried, now_s, closed_groups)
-        # A slow rank holds its whole group up by each request that it gets: rather wait.
-        staying = [u for u in staying if not self._is_slow_rank(u)] or staying
-        # Unlike a rest an ejection is a guess: where all are ejected, all are tried.
-        sound = [u for u in staying if u.ejected_until_s <= now_s]
-        free = [u for u in sound or staying if u.load(now_s) < 1.0]
+        eligible = self.list_candidates(service, tried, now_s, excluded_groups)
+        # Each request to a slow rank slows down its whole group: prefer waiting for another rank.
+        eligible = [u for u in eligible if not self._is_slow_rank(u)] or eligible
+        # Unlike a backoff, an ejection is based on a guess: if all are ejected, all are eligible.
+        not_ejected = [u for u in eligible if u.ejected_until_s <= now_s]
+        free = [u for u in not_ejected or eligible if u.load(now_s) < 1.0]
         while free:
             best = min(free, key=lambda u: (self._rank_by_load(u, now_s), self.rng.random()))
             if self._may_send(best):
                 return best
             if requests_tokens and self.tokens is not None:
-                # Where the allocator may not answer, the next best is wanted too.
+                # If the allocator may not respond, also request a token for the next candidate.
                 requests_tokens = not self.tokens.request_token(best.listed.incarnation)
                 if self._may_send(best):
                     return best
@@ -254,13 +259,13 @@
         return None
 
     def take(self, upstream: Upstream) -> None:
-        """Count a request that goes to an upstream."""
+        """Count a request to an upstream as in flight and consume a token."""
         upstream.in_hand += 1
         if self.tokens is not None:
             self.tokens.spend(upstream.listed.incarnation)
 
     def lacks_tokens(self, candidates: Collection[Upstream], now_s: float) -> bool:
-        """Return whether some candidate has free slots and only lacks a token."""
+        """Return whether a candidate has free slots and lacks only a token."""
         return any(u.load(now_s) < 1.0 and not self._may_send(u) for u in candidates)
 
     def _may_send(self, upstream: Upstream) -> bool:
@@ -275,12 +280,15 @@
         self._by_group.get(listed.group_key, {}).pop(listed.incarnation, None)
 
     def _rank_by_load(self, upstream: Upstream, now_s: float) -> float:
-        """Return the load, with `FAR_SLOTS` on top for another hall."""
-        distance = 0.0 if upstream.listed.hall == self.hall else FAR_SLOTS
+        """Return the load, increased by `REMOTE_HALL_SLOTS` for upstreams of another hall."""
+        distance = 0.0 if upstream.listed.hall == self.hall else REMOTE_HALL_SLOTS
         return upstream.load(now_s) + distance / max(1, upstream.listed.slots)
 
     def note_failure(self, upstream: Upstream, now_s: float, *, is_unreachable: bool) -> None:
-        """Count a failure, and eject the upstream where that is due and leaves most in."""
+        """Record a failure and eject the upstream if necessary.
+
+        Unless it is unreachable, an upstream is only ejected while most others are eligible.
+        """
         upstream.note_answer(failed=True)
         if not (is_unreachable or upstream.is_failing()):
             return
@@ -300,6 +308,6 @@
         )
 
 
-def _share_taken(upstreams: Collection[Upstream]) -> float:
+def _occupied_share(upstreams: Collection[Upstream]) -> float:
     slots = sum(u.listed.slots for u in upstreams)
     return sum(u.known_in_hand() for u in upstreams) / max(1, slots)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -83,7 +83,7 @@
 def test_a_load_that_nobody_knows_of_counts_for_a_while() -> None:
     async def scenario(desk: _Desk) -> None:
         (upstream,) = desk.upstreams
-        upstream.note_told(SLOTS, desk.now_s)
+        upstream.note_reported_load(SLOTS, desk.now_s)
         assert desk.upstreams.choose("desk", (), desk.now_s) is None
         desk.now_s += 2.5
         assert desk.upstreams.choose("desk", (), desk.now_s) is upstream
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -12,7 +12,7 @@
 from dalehollow.gateway.crashes import CrashWatch, make_fingerprint
 from dalehollow.gateway.listed import ListedUpstream
 from dalehollow.gateway.table import RequestKind, Route
-from dalehollow.gateway.upstream import Said, Upstream
+from dalehollow.gateway.upstream import ReportedState, Upstream
 from tests.manual_clock import ManualClock
 
 CRASHING, HARMLESS = b"crashing", b"harmless"
@@ -22,7 +22,7 @@
 def _upstream(number: int = 0, **changes: object) -> Upstream:
     address = f"127.0.0.1:{number + 1}"
     listed = replace(FIRST, incarnation=f"s{number}", address=address, **changes)  # type: ignore[arg-type]
-    return Upstream(listed, Said(listed.started_at_ms))
+    return Upstream(listed, ReportedState(listed.started_at_ms))
 
 
 def _restart(upstream: Upstream) -> ListedUpstream:
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -163,13 +163,13 @@
         assert passed in WHOLE
     assert passed == STREAM
     assert splitter.last_id == b"3"
-    assert splitter.take_rest() == b""
+    assert splitter.flush() == b""
 
 
 def test_a_part_of_an_event_is_dropped_with_its_source() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\n\nid: 2\ndata") == b"id: 1\n\n"
-    splitter.drop_rest()
+    splitter.discard_partial()
     assert splitter.feed(b"id: 2\ndata: b\n\n") == b"id: 2\ndata: b\n\n"
 
 
--- a/tests/test_upstream_rests.py
+++ b/tests/test_upstream_rests.py
@@ -171,7 +171,7 @@
         assert len(refusing.seen) == 1
         assert len(serving.seen) == ASKED
 
-    with replaced(upstream, "EJECT_BASE_S", 60.0), replaced(upstream, "EJECT_MAX_S", 60.0):
+    with replaced(upstream, "MIN_EJECTION_S", 60.0), replaced(upstream, "MAX_EJECTION_S", 60.0):
         run_bench(scenario)
 
 
