--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Check who gets a place, who waits and who is told to come back."""
+"""Test which requests are admitted, queued or refused."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 SLOTS = 2
 
 
-def _turn(*, priority: int = 5, left_s: float = 8.0, objective_s: float = 40.0) -> Turn:
-    # The objective is long, so that no wait ends before the test ends it.
-    return Turn("talk", priority, objective_s, left_s, left_s)
+def _turn(*, priority: int = 5, time_left_s: float = 8.0, objective_s: float = 40.0) -> Turn:
+    # The objective is long enough that no wait times out during a test.
+    return Turn("talk", priority, objective_s, time_left_s, time_left_s)
 
 
 class _Desk:
-    """Hold one service with upstreams, and a clock that stands still unless told."""
+    """Provide one service with upstreams and a manually advanced clock."""
 
     def __init__(self, upstreams: int = 1) -> None:
         rng = random.Random(7)
@@ -83,7 +83,7 @@
 def test_a_load_that_nobody_knows_of_counts_for_a_while() -> None:
     async def scenario(desk: _Desk) -> None:
         (upstream,) = desk.upstreams
-        upstream.note_told(SLOTS, desk.now_s)
+        upstream.note_reported_load(SLOTS, desk.now_s)
         assert desk.upstreams.choose("desk", (), desk.now_s) is None
         desk.now_s += 2.5
         assert desk.upstreams.choose("desk", (), desk.now_s) is upstream
@@ -96,14 +96,14 @@
         places = [await desk.take() for _ in range(SLOTS)]
         usual = await desk.wait(priority=9)
         urgent = await desk.wait(priority=0)
-        returned = await desk.wait(priority=9, left_s=4.0)
+        returned = await desk.wait(priority=9, time_left_s=4.0)
         order = []
         for task, name in ((usual, "usual"), (urgent, "urgent"), (returned, "returned")):
             task.add_done_callback(lambda _, name=name: order.append(name))  # type: ignore[misc]
         place = places[0]
         assert isinstance(place, Upstream)
         for _ in range(3):
-            desk.admission.give_back(place)
+            desk.admission.release(place)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         assert order == ["returned", "urgent", "usual"]
@@ -119,7 +119,7 @@
         await asyncio.gather(waiting, return_exceptions=True)
         assert desk.admission.waiting == []
         assert isinstance(places[0], Upstream)
-        desk.admission.give_back(places[0])
+        desk.admission.release(places[0])
         assert sum(u.in_hand for u in desk.upstreams) == SLOTS - 1
 
     _run(scenario)
@@ -132,8 +132,8 @@
         leaving.cancel()
         place = places[0]
         assert isinstance(place, Upstream)
-        # Before the task that waits has noticed.
-        desk.admission.give_back(place)
+        # Release the slot before the cancelled task has run.
+        desk.admission.release(place)
         assert isinstance(await staying, Upstream)
         await asyncio.gather(leaving, return_exceptions=True)
         assert sum(u.in_hand for u in desk.upstreams) == SLOTS
@@ -170,7 +170,9 @@
         assert isinstance(probe, Upstream)
         assert isinstance(refused, NoPlace)
         assert refused.reason == "group_broken"
-        assert refused.retry_after_s == pytest.approx(8.0 * admission_module.LEFT_SHARE)
+        assert refused.retry_after_s == pytest.approx(
+            8.0 * admission_module.RETRY_AFTER_TIME_LEFT_SHARE
+        )
         desk.health.note_served("desk", desk.now_s + 0.1)
         assert isinstance(await desk.take(), Upstream)
 
@@ -178,20 +180,20 @@
 
 
 def test_a_first_try_waits_as_long_as_it_can_still_be_served_in_time() -> None:
-    """A fixed share was too long where answers begin late, and too short elsewhere."""
+    """A wait of a fixed share of the objective is too long for slow upstreams, else too short."""
 
     async def scenario(desk: _Desk) -> None:
         for _ in range(SLOTS):
             await desk.take()
         turn = _turn(objective_s=0.02)
-        desk.admission._done_interval_s = 0.001
-        desk.admission.note_begun(0.03)
-        assert desk.admission._patience_s(turn, False) == 0.0
+        desk.admission._completion_interval_s = 0.001
+        desk.admission.note_answer_latency(0.03)
+        assert desk.admission._max_wait_s(turn, False) == 0.0
         refused = await desk.take(objective_s=0.02)
         assert isinstance(refused, NoPlace) and refused.reason == "no_place_in_time"
         for _ in range(100):
-            desk.admission.note_begun(0.005)
-        assert desk.admission._patience_s(turn, False) == pytest.approx(0.015, abs=0.001)
+            desk.admission.note_answer_latency(0.005)
+        assert desk.admission._max_wait_s(turn, False) == pytest.approx(0.015, abs=0.001)
 
     _run(scenario)
 
@@ -211,7 +213,7 @@
             refused = await task
             assert isinstance(refused, NoPlace)
             assert refused.reason == "all_resting"
-            # The first rest to end is named, to each caller a moment of its own.
+            # `Retry-After` covers the backoff that ends first and differs between callers.
             assert refused.retry_after_s >= 1.0
         assert desk.admission.waiting == []
 
@@ -234,7 +236,7 @@
         await asyncio.sleep(0)
         first = await desk.wait(priority=9)
         place = next(p for p in places if isinstance(p, Upstream) and p.listed.incarnation == "u0")
-        desk.admission.give_back(place)
+        desk.admission.release(place)
         granted = await first
         assert isinstance(granted, Upstream) and granted.listed.incarnation == "u0"
         assert not again.done()
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -163,20 +163,20 @@
         assert passed in WHOLE
     assert passed == STREAM
     assert splitter.last_id == b"3"
-    assert splitter.take_rest() == b""
+    assert splitter.flush() == b""
 
 
 def test_a_part_of_an_event_is_dropped_with_its_source() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\n\nid: 2\ndata") == b"id: 1\n\n"
-    splitter.drop_rest()
+    splitter.discard_partial()
     assert splitter.feed(b"id: 2\ndata: b\n\n") == b"id: 2\ndata: b\n\n"
 
 
 def test_repeats_stay_within_their_share_of_a_sliding_window() -> None:
     window = RetryWindow(window_s=10.0, share=0.2, extra=2.0)
     for number in range(10):
-        window.note_first(float(number))
+        window.count_first_attempt(float(number))
     taken = sum(window.take_repeat(9.5) for _ in range(10))
     assert taken == 4
     # At 12.5 s the first tries of the first seconds have left the window: fewer may follow.
