--- a/dalehollow/entry/__init__.py
+++ b/dalehollow/entry/__init__.py
@@ -1,4 +1,4 @@
-"""Take callers' requests, choose an upstream for each and relay its answer."""
+"""Accept client requests, select an upstream for each and relay the response."""
 
 from __future__ import annotations
 
--- a/dalehollow/entry/admit.py
+++ b/dalehollow/entry/admit.py
@@ -1,4 +1,4 @@
-"""Check a caller's request against the configuration and turn it into a job."""
+"""Validate a client request against the configuration and build a job from it."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Job:
-    """Hold one admitted request; `deadline_s` is on this process's monotonic clock."""
+    """Hold an admitted request; `deadline_s` is on this process's monotonic clock."""
 
     request_id: str
     account: Account
@@ -45,18 +45,18 @@
 
     @property
     def scope(self) -> str:
-        """Return the name under which the key is owned, the same as the sidecar's."""
+        """Return the ownership scope of the key, identical to the one the sidecar computes."""
         return make_scope(self.service.name, self.account.name, self.key)
 
 
 def read_request_id(req: HttpRequest) -> str:
-    """Return the caller's request id if it is a sound one, or a new one."""
+    """Return the client's request id if it is well-formed, else a new one."""
     given = req.headers.get(hdr.REQUEST_ID, "")
     return given if _REQUEST_ID.fullmatch(given) else uuid.uuid4().hex
 
 
-def index_keys(cfg: Config) -> dict[str, Account]:
-    """Index the accounts by the digest of their keys."""
+def index_accounts_by_key_digest(cfg: Config) -> dict[str, Account]:
+    """Index the client accounts by the SHA-256 digest of their API keys."""
     return {account.key_sha256: account for account in cfg.accounts.values()}
 
 
@@ -67,7 +67,7 @@
     keys: Mapping[str, Account],
     now_s: float,
 ) -> Result[Job, Failure]:
-    """Admit a request, or refuse it with the field, its value and the choices."""
+    """Admit a request, or reject it naming the offending field, its value and the valid values."""
     account = _find_account(req, keys)
     if isinstance(account, Err):
         return account
@@ -111,7 +111,10 @@
         return _refuse(Reason.BAD_KEY, "header 'authorization' must be 'Bearer' and a key")
     account = keys.get(hashlib.sha256(token.strip().encode()).hexdigest())
     if account is None:
-        return _refuse(Reason.BAD_KEY, "header 'authorization' holds a key of no client account")
+        return _refuse(
+            Reason.BAD_KEY,
+            "header 'authorization' contains a key that belongs to no client account",
+        )
     return Ok(account)
 
 
@@ -145,7 +148,7 @@
 
 
 def _check_operation(req: HttpRequest, service: Service) -> Result[Service, Failure]:
-    """Refuse another method on a path whose methods the configuration lists."""
+    """Reject an unlisted method on a path whose methods the configuration lists."""
     listed = [op.method for op in service.operations if op.path == req.path]
     if listed and req.method not in listed:
         choices = ", ".join(sorted(listed))
@@ -197,7 +200,7 @@
 
 
 def _is_repeatable(req: HttpRequest, service: Service) -> bool:
-    """Return the mark of an operation; what a plain service does not list may not repeat."""
+    """Return whether a request may be sent twice; unlisted unsafe methods may not."""
     if service.kind == "model":
         return True
     for op in service.operations:
--- a/dalehollow/entry/attempt.py
+++ b/dalehollow/entry/attempt.py
@@ -1,4 +1,4 @@
-"""Try a job at one upstream and tell how far it came."""
+"""Send a job to one upstream and report the step at which it failed, if it did."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 
 
 @dataclass(frozen=True)
-class Attempt:
-    """Hold what tries need: connections to sidecars, those to upstreams, and the inner key."""
+class UpstreamClient:
+    """Send requests to sidecars, or directly to upstreams that have none."""
 
     client: HttpClient
     direct_client: HttpClient
     inner_key: str
     answer_timeout_s: float
 
-    def try_view(self, job: Job, view: UpstreamView) -> Result[Answer, Failure]:
-        """Send a job to a known upstream and keep count of it until its answer ends."""
+    def call_upstream(self, job: Job, view: UpstreamView) -> Result[Answer, Failure]:
+        """Send a job to a known upstream, counting it as in flight until its response ends."""
         view.note_sent()
         is_direct = view.upstream.control is None
-        tried = self.try_address(job, view.upstream.http, is_direct=is_direct)
+        tried = self.call_address(job, view.upstream.http, is_direct=is_direct)
         now_s = read_clock()
         if isinstance(tried, Err):
             view.note_done()
@@ -49,13 +49,13 @@
                 view.is_leaving = True
             return tried
         view.note_success()
-        report = read_load(tried.ok_value.headers.get(hdr.LOAD))
+        report = parse_load(tried.ok_value.headers.get(hdr.LOAD))
         if report is not None:
             view.take_report(report, now_s)
         return tried
 
-    def try_address(self, job: Job, address: str, *, is_direct: bool) -> Result[Answer, Failure]:
-        """Send a job to an address and wait for the head of an answer."""
+    def call_address(self, job: Job, address: str, *, is_direct: bool) -> Result[Answer, Failure]:
+        """Send a job to an address and wait for the response head."""
         left_s = job.deadline_s - read_clock()
         if left_s <= 0:
             return Err(Failure(Reason.DEADLINE, Verdict.NOT_RUN, "the deadline has passed"))
@@ -69,7 +69,7 @@
             timeout_s=min(left_s, self.answer_timeout_s),
         )
         if isinstance(sent, Err):
-            return Err(_judge_call(job, sent.err_value, is_direct=is_direct))
+            return Err(_classify_call_error(job, sent.err_value, is_direct=is_direct))
         return _read_inner_refusal(sent.ok_value, is_direct=is_direct)
 
 
@@ -85,7 +85,7 @@
     return Err(failure)
 
 
-def _judge_call(job: Job, error: CallError, *, is_direct: bool) -> Failure:
+def _classify_call_error(job: Job, error: CallError, *, is_direct: bool) -> Failure:
     connect = Step.CONNECT_UPSTREAM if is_direct else Step.CONNECT_SIDECAR
     send = Step.SEND_UPSTREAM if is_direct else Step.SEND_SIDECAR
     step = send if error.sent else connect
@@ -118,8 +118,8 @@
     return headers
 
 
-def read_load(value: str | None) -> LoadReport | None:
-    """Read the load that rides on a sidecar's answer."""
+def parse_load(value: str | None) -> LoadReport | None:
+    """Parse the load header of a sidecar's response; None if absent or malformed."""
     if value is None:
         return None
     try:
@@ -130,7 +130,7 @@
 
 
 def stream_answer(answer: Answer, view: UpstreamView | None) -> Iterator[bytes]:
-    """Yield an answer as it comes; its end, however it comes, closes it upstream too."""
+    """Yield a response as it arrives; closes the upstream connection on any exit."""
     try:
         yield from answer.stream()
     finally:
--- a/dalehollow/entry/pool.py
+++ b/dalehollow/entry/pool.py
@@ -1,4 +1,4 @@
-"""Keep the views of all upstreams that one entry speaks with."""
+"""Maintain a view of every upstream that one entry connects to."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 FAR_DISTANCE_MS = 3.0
 NEAR_DISTANCE_MS = 0.2
-LEAST_SUBSET = 3
+MIN_SUBSET_SIZE = 3
 _MS_PER_S = 1000
 
 
@@ -32,10 +32,10 @@
         subset_size: int,
         peer_limit: int,
     ) -> None:
-        """Begin empty; `clock` gives monotonic seconds.
+        """Create an empty pool; `clock` returns monotonic seconds.
 
         Each service gets a subset of `subset_size` upstreams, or fewer where all services
-        together would pass `peer_limit`, but never less than `LEAST_SUBSET`.
+        together would exceed `peer_limit`, but never fewer than `LEAST_SUBSET`.
         """
         self._entry = entry
         self._hall = hall
@@ -48,11 +48,11 @@
         self._lock = threading.Lock()
 
     def apply(self, in_force: InForce) -> dict[str, str]:
-        """Follow a configuration; return the control addresses of the sidecars to speak with."""
+        """Apply a configuration; return the control addresses of the sidecars to connect to."""
         cfg = in_force.config
         assert cfg is not None
         share = self._peer_limit // max(1, len(cfg.services))
-        size = max(LEAST_SUBSET, min(self._subset_size, share))
+        size = max(MIN_SUBSET_SIZE, min(self._subset_size, share))
         subsets = {
             service.name: choose_subset(
                 self._entry,
@@ -64,14 +64,14 @@
         }
         wanted = {u.name: u for subset in subsets.values() for u in subset}
         with self._lock:
-            self._views = {name: self._keep_view(u) for name, u in wanted.items()}
+            self._views = {name: self._reuse_or_make_view(u) for name, u in wanted.items()}
             self._subsets = {s: tuple(u.name for u in subset) for s, subset in subsets.items()}
         return {u.name: u.control for u in wanted.values() if u.control is not None}
 
     def pick(
         self, service: Service, tried: Iterable[str], priority: str = PRIORITIES[0]
     ) -> UpstreamView | None:
-        """Pick an upstream that was not tried, or None if there is none."""
+        """Select a usable upstream that has not been tried, or None if there is none."""
         excluded = set(tried)
         usable = select_usable(self._list_views(service.name), self._clock(), priority)
         open_views = {v.upstream.name: v for v in usable if v.upstream.name not in excluded}
@@ -81,22 +81,22 @@
         return open_views[chosen.name]
 
     def rest_left_ms(self, service: str, priority: str) -> int:
-        """Return how soon the first upstream takes such requests, 0 where one does now."""
+        """Return the time until any upstream accepts such requests; 0 if one does now."""
         now_s = self._clock()
-        lefts_s = [view.rest_left_s(priority, now_s) for view in self._list_views(service)]
-        return round(min(lefts_s, default=0.0) * _MS_PER_S)
+        remaining_s = [view.rest_left_s(priority, now_s) for view in self._list_views(service)]
+        return round(min(remaining_s, default=0.0) * _MS_PER_S)
 
     def _list_views(self, service: str) -> list[UpstreamView]:
         with self._lock:
             return [self._views[name] for name in self._subsets.get(service, ())]
 
     def find(self, name: str) -> UpstreamView | None:
-        """Return the view of an upstream, if this entry speaks with it."""
+        """Return the view of an upstream, or None if it is in none of the subsets."""
         with self._lock:
             return self._views.get(name)
 
-    def take_beat(self, name: str, reply: BeatReply) -> None:
-        """Take a sidecar's word."""
+    def record_heartbeat(self, name: str, reply: BeatReply) -> None:
+        """Update an upstream's load and state from its sidecar's heartbeat reply."""
         view = self.find(name)
         if view is None:
             return
@@ -104,14 +104,14 @@
         view.take_report(report, self._clock())
         view.mark_leaving(reply.is_leaving, reply.incarnation_ms)
 
-    def mark_listed(self, leaving: frozenset[str]) -> None:
-        """Take the VM list's word on which upstreams are leaving."""
+    def set_listed_leaving(self, leaving: frozenset[str]) -> None:
+        """Set which upstreams the VM list reports as leaving."""
         with self._lock:
             for name, view in self._views.items():
                 view.is_listed_leaving = name in leaving
 
     def dump(self) -> list[dict[str, object]]:
-        """Return what is known of each upstream."""
+        """Return the state of each upstream view."""
         now_s = self._clock()
         with self._lock:
             views = list(self._views.values())
@@ -132,7 +132,7 @@
             for view in views
         ]
 
-    def _keep_view(self, upstream: Upstream) -> UpstreamView:
+    def _reuse_or_make_view(self, upstream: Upstream) -> UpstreamView:
         known = self._views.get(upstream.name)
         if known is not None and known.upstream == upstream:
             return known
--- a/dalehollow/entry/process.py
+++ b/dalehollow/entry/process.py
@@ -1,4 +1,4 @@
-"""Run an entry: its servers, its peers, its configuration and its planned stop."""
+"""Run an entry: its servers, peer connections, configuration and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from dalehollow.config.holder import ConfigHolder, InForce
 from dalehollow.config.model import Account
 from dalehollow.config.spread import Spreader, draw_poll_limit_ms, wall_ms
-from dalehollow.entry.admit import Job, admit, index_keys, read_request_id
-from dalehollow.entry.attempt import Attempt
+from dalehollow.entry.admit import Job, admit, index_accounts_by_key_digest, read_request_id
+from dalehollow.entry.attempt import UpstreamClient
 from dalehollow.entry.pool import Pool
-from dalehollow.entry.serve import JobServer
+from dalehollow.entry.serve import JobDispatcher
 from dalehollow.entry.shares import ShareKeeper
 from dalehollow.errors import Failure, Reason
 from dalehollow.membership import PeerTasks, VmWatch
@@ -47,7 +47,7 @@
 from dalehollow.web import HttpClient, HttpRequest, HttpResponse, HttpServer
 from dalehollow.web.refusal import make_refusal
 
-RECENT_DECISIONS = 500
+MAX_RECENT_DECISIONS = 500
 SHARE_TIMEOUT_MS = 300
 _MS_PER_S = 1000
 _RETRY_NO_CONFIG_MS = 1_000
@@ -58,7 +58,7 @@
     """Hold the state of one entry process."""
 
     def __init__(self, settings: Settings) -> None:
-        """Bind the servers; nothing is served before start."""
+        """Bind the servers; no request is handled before `start`."""
         self.settings = settings
         self.is_leaving = False
         self.metrics = Metrics()
@@ -74,30 +74,32 @@
             peer_limit=settings.peer_limit,
         )
         connect_timeout_s = settings.connect_timeout_ms / _MS_PER_S
-        attempt = Attempt(
+        upstream_client = UpstreamClient(
             client=HttpClient(connect_timeout_s=connect_timeout_s),
             direct_client=HttpClient(connect_timeout_s=connect_timeout_s, keeps=False),
             inner_key=settings.inner_key,
             answer_timeout_s=settings.answer_timeout_ms / _MS_PER_S,
         )
-        self.jobs = JobServer(settings.name, self.holder, self.pool, attempt, wall_ms)
+        self.jobs = JobDispatcher(settings.name, self.holder, self.pool, upstream_client, wall_ms)
         host, port = split_address(settings.http)
         self.server = HttpServer(host, port, self.handle, name="dalehollow")
         host, port = split_address(settings.control)
         self.control = ControlServer(host, port, self.handle_control)
         self.peers = PeerTasks(
-            self._make_beat,
-            self._take_reply,
+            self._make_heartbeat,
+            self._handle_peer_reply,
             settings.beat_interval_ms,
             settings.control_bytes_per_s,
         )
-        self.vm_watch = VmWatch(settings.platform, self._take_list, settings.vm_list_interval_ms)
-        self.shares = ShareKeeper(settings.name, settings.hall, self._ask_shares)
+        self.vm_watch = VmWatch(
+            settings.platform, self._handle_vm_list, settings.vm_list_interval_ms
+        )
+        self.shares = ShareKeeper(settings.name, settings.hall, self._request_shares)
         if settings.platform is None:
-            # No list will ever come: nobody to share with by demand.
+            # Without a platform there is no VM list, so limits are split evenly.
             self.shares.take_list(())
         self._keys: Mapping[str, Account] = {}
-        self._recent: deque[dict[str, object]] = deque(maxlen=RECENT_DECISIONS)
+        self._recent: deque[dict[str, object]] = deque(maxlen=MAX_RECENT_DECISIONS)
         self._lock = threading.Lock()
         self._stopping = threading.Event()
         self._entry_links: dict[str, PeerLink] = {}
@@ -105,21 +107,21 @@
         self.metrics.watch_gauge("config_version", lambda: self.holder.version)
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start the servers and the background threads."""
         self.peers.keep(self._seed_peers())
         self.spreader.poll()
         self.spreader.start()
         self.vm_watch.start()
-        threading.Thread(target=self._keep_shares, name="shares", daemon=True).start()
+        threading.Thread(target=self._run_share_rounds, name="shares", daemon=True).start()
         self.control.start()
         self.server.start()
 
     def stop(self) -> int:
-        """Let requests in hand finish, and return how many were cut off."""
+        """Drain running requests and return how many were aborted."""
         self.is_leaving = True
         self._stopping.set()
         log_event(_log, "leaving")
-        # The balancer sees the health answer change and sends elsewhere; late ones are served.
+        # The balancer stops sending once the health check fails; requests until then are served.
         self.server.begin_closing()
         time.sleep(self.settings.leave_ms / _MS_PER_S)
         left = self.server.wait_idle(self.settings.drain_timeout_ms / _MS_PER_S)
@@ -132,38 +134,38 @@
         return left
 
     def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer one HTTP request from a caller."""
+        """Handle one HTTP request from a client."""
         if req.path == "/dalehollow/health":
             return self._answer_health()
         if req.path == "/dalehollow/metrics":
             return HttpResponse(200, {"content-type": "text/plain"}, self.metrics.expose().encode())
-        began_s = read_clock()
+        started_s = read_clock()
         request_id = read_request_id(req)
-        served = self._admit(req, request_id, began_s).and_then(self.jobs.serve)
+        served = self._admit(req, request_id, started_s).and_then(self.jobs.serve)
         if isinstance(served, Ok):
             response = served.ok_value
         else:
             response = make_refusal(served.err_value, request_id=request_id)
-        self._record(req, request_id, response, served, began_s)
+        self._record(req, request_id, response, served, started_s)
         return response
 
     def handle_control(self, request: Request) -> Reply:
-        """Answer one message from a peer."""
+        """Handle one control message from a peer."""
         match request:
             case FetchManifest() | FetchParts():
                 return self.spreader.answer(request)
             case Beat():
                 self.spreader.hear(request.version, request.confirmed_at_ms, request.address)
-                return self._make_beat_reply()
+                return self._make_heartbeat_reply()
             case AskShares():
                 return self.shares.answer(request)
             case Dump():
                 return DumpText(json.dumps(self.dump(request.section)).encode())
             case _:
-                return Refused(f"{type(request).__name__} is not for an entry")
+                return Refused(f"{type(request).__name__} is not handled by an entry")
 
     def dump(self, section: str = "") -> dict[str, object]:
-        """Return the state of this process; section `recent` adds the last decisions."""
+        """Return the state of this process; section `recent` adds the latest decisions."""
         state: dict[str, object] = {
             "role": "entry",
             "name": self.settings.name,
@@ -188,7 +190,7 @@
                 Failure(
                     Reason.NO_CONFIGURATION,
                     Verdict.NOT_RUN,
-                    "this entry has no configuration yet",
+                    "this entry has not loaded a configuration yet",
                     retry_after_ms=_RETRY_NO_CONFIG_MS,
                 )
             )
@@ -199,20 +201,20 @@
         wait_ms = self.shares.take(job.account.name)
         if not wait_ms:
             return Ok(job)
-        message = f"account {job.account.name!r} is at its limit of requests"
+        message = f"account {job.account.name!r} has reached its request rate limit"
         return Err(Failure(Reason.ACCOUNT_LIMIT, Verdict.NOT_RUN, message, retry_after_ms=wait_ms))
 
     def _apply(self, in_force: InForce) -> None:
         cfg = in_force.config
         assert cfg is not None
         self.shares.apply(cfg)
-        self._keys = index_keys(cfg)
+        self._keys = index_accounts_by_key_digest(cfg)
         self.peers.keep({**self._seed_peers(), **self.pool.apply(in_force)})
 
     def _seed_peers(self) -> dict[str, str]:
         return {address: address for address in self.settings.peers}
 
-    def _make_beat(self) -> Beat:
+    def _make_heartbeat(self) -> Beat:
         return Beat(
             self.settings.name,
             self.control.address,
@@ -220,7 +222,7 @@
             self.holder.confirmed_at_ms,
         )
 
-    def _make_beat_reply(self) -> BeatReply:
+    def _make_heartbeat_reply(self) -> BeatReply:
         return BeatReply(
             sender=self.settings.name,
             incarnation_ms=0,
@@ -233,7 +235,7 @@
             is_leaving=self.is_leaving,
         )
 
-    def _take_reply(self, name: str, asked: Result[Reply, str]) -> None:
+    def _handle_peer_reply(self, name: str, asked: Result[Reply, str]) -> None:
         if isinstance(asked, Err):
             view = self.pool.find(name)
             if view is not None:
@@ -241,28 +243,28 @@
             return
         reply = asked.ok_value
         if isinstance(reply, BeatReply):
-            self.pool.take_beat(name, reply)
+            self.pool.record_heartbeat(name, reply)
             view = self.pool.find(name)
             address = view.upstream.control if view is not None else name
             self.spreader.hear(reply.version, reply.confirmed_at_ms, address or "")
 
-    def _take_list(self, vms: tuple[Vm, ...]) -> None:
-        self.pool.mark_listed(list_leaving(vms))
+    def _handle_vm_list(self, vms: tuple[Vm, ...]) -> None:
+        self.pool.set_listed_leaving(list_leaving(vms))
         self.shares.take_list(vms)
 
-    def _keep_shares(self) -> None:
+    def _run_share_rounds(self) -> None:
         interval_s = self.settings.share_interval_ms / _MS_PER_S
         while not self._stopping.wait(interval_s):
             self.shares.run_round(interval_s)
 
-    def _ask_shares(self, address: str, ask: AskShares) -> Result[Shares, str]:
+    def _request_shares(self, address: str, ask: AskShares) -> Result[Shares, str]:
         link = self._entry_links.get(address)
         if link is None:
             link = self._entry_links[address] = PeerLink(address)
         asked = link.ask(ask, timeout_ms=SHARE_TIMEOUT_MS)
         if isinstance(asked, Ok) and isinstance(asked.ok_value, Shares):
             return Ok(asked.ok_value)
-        return Err(f"entry at {address!r} did not answer")
+        return Err(f"entry at {address!r} did not respond with shares")
 
     def _answer_health(self) -> HttpResponse:
         status = 503 if self.is_leaving or self.holder.version == 0 else 200
@@ -275,9 +277,9 @@
         request_id: str,
         response: HttpResponse,
         served: Result[HttpResponse, Failure],
-        began_s: float,
+        started_s: float,
     ) -> None:
-        took_ms = (read_clock() - began_s) * _MS_PER_S
+        took_ms = (read_clock() - started_s) * _MS_PER_S
         reason = served.err_value.reason if isinstance(served, Err) else "answered"
         self.metrics.count("answers", status=str(response.status), reason=str(reason))
         self.metrics.record_ms("head", took_ms)
--- a/dalehollow/entry/serve.py
+++ b/dalehollow/entry/serve.py
@@ -1,4 +1,4 @@
-"""Serve one job: try upstreams within one deadline and one retry budget."""
+"""Dispatch a job to upstreams within its deadline and its account's retry budget."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from dalehollow.clock import read_clock
 from dalehollow.config.holder import ConfigHolder
 from dalehollow.entry.admit import Job
-from dalehollow.entry.attempt import Attempt, stream_answer
+from dalehollow.entry.attempt import UpstreamClient, stream_answer
 from dalehollow.entry.pool import Pool
 from dalehollow.errors import Failure, Reason
 from dalehollow.limits import RetryBudget
@@ -32,8 +32,8 @@
 
 
 @dataclass(frozen=True)
-class Served:
-    """Hold an answer's head, its upstream and how many tries it took."""
+class UpstreamAnswer:
+    """Hold a response, the upstream that sent it and the number of attempts."""
 
     answer: Answer
     view: UpstreamView | None
@@ -42,30 +42,30 @@
 
 
 @dataclass
-class JobServer:
-    """Hold what serving needs, and each account's retry budget."""
+class JobDispatcher:
+    """Dispatch jobs to upstreams, with one retry budget per account."""
 
     entry: str
     holder: ConfigHolder
     pool: Pool
-    attempt: Attempt
+    upstream_client: UpstreamClient
     wall_ms: Callable[[], int]
     _budgets: dict[str, RetryBudget] = field(default_factory=dict)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def serve(self, job: Job) -> Result[HttpResponse, Failure]:
-        """Serve a job and return the response, or the failure with its verdict."""
-        tries = self._try_owner(job) if job.key is not None else self._try_upstreams(job)
+        """Run a job and return the response, or the failure with its verdict."""
+        tries = self._call_owner(job) if job.key is not None else self._call_with_retries(job)
         if isinstance(tries, Err):
             return tries
         return self._make_response(job, tries.ok_value)
 
-    def _try_upstreams(self, job: Job) -> Result[Served, Failure]:
-        budget = self._budget_of(job.account.name)
+    def _call_with_retries(self, job: Job) -> Result[UpstreamAnswer, Failure]:
+        budget = self._get_budget(job.account.name)
         budget.record_first_try()
         tried: list[str] = []
         failure: Failure | None = None
-        worst = Verdict.NOT_RUN
+        worst_verdict = Verdict.NOT_RUN
         while len(tried) < MAX_TRIES:
             view = self.pool.pick(job.service, tried, job.priority)
             if view is None:
@@ -73,23 +73,23 @@
             if tried and not budget.take_retry():
                 break
             tried.append(view.upstream.name)
-            outcome = self.attempt.try_view(job, view)
+            outcome = self.upstream_client.call_upstream(job, view)
             if isinstance(outcome, Ok):
-                return Ok(Served(outcome.ok_value, view, view.upstream.name, len(tried)))
+                return Ok(UpstreamAnswer(outcome.ok_value, view, view.upstream.name, len(tried)))
             failure = outcome.err_value
             if failure.verdict is not Verdict.NOT_RUN:
-                worst = Verdict.MAY_HAVE_RUN
-            self._log_failed_try(job, view.upstream.name, failure)
+                worst_verdict = Verdict.MAY_HAVE_RUN
+            self._log_failed_attempt(job, view.upstream.name, failure)
             if not failure.may_retry or job.deadline_s <= read_clock():
                 break
         if failure is None:
             rest_ms = self.pool.rest_left_ms(job.service.name, job.priority)
-            return Err(_all_rest(job, rest_ms) if rest_ms else _no_upstream(job))
-        # An earlier try may have run though the last one certainly did not.
-        return Err(failure if worst is Verdict.NOT_RUN else _keep_doubt(failure))
+            return Err(_all_queues_full(job, rest_ms) if rest_ms else _no_usable_upstream(job))
+        # An earlier attempt may have run even if the last one certainly did not.
+        return Err(failure if worst_verdict is Verdict.NOT_RUN else _mark_may_have_run(failure))
 
-    def _try_owner(self, job: Job) -> Result[Served, Failure]:
-        """Send a keyed job to the one upstream that may run it."""
+    def _call_owner(self, job: Job) -> Result[UpstreamAnswer, Failure]:
+        """Send a job with an idempotency key to the only upstream that may run it."""
         in_force = self.holder.in_force
         assert in_force.config is not None and job.key is not None
         owner = find_owner(
@@ -100,27 +100,27 @@
             memory_ms=job.service.key_window_ms + 2 * in_force.config.clock_bound_ms,
         )
         if owner is None:
-            return Err(_no_upstream(job))
+            return Err(_no_usable_upstream(job))
         name, _, address = owner.member.partition("@")
         upstream = in_force.config.upstreams.get(name)
         if upstream is not None and upstream.control is None:
             message = (
                 f"service {job.service.name!r} has an upstream without a sidecar "
-                f"({name!r}), which cannot run a key at most once"
+                f"({name!r}), which cannot guarantee at-most-once execution"
             )
             return Err(Failure(Reason.NO_UPSTREAM, Verdict.NOT_RUN, message))
         view = self.pool.find(name)
         if view is not None and view.upstream.http == address:
-            outcome = self.attempt.try_view(job, view)
+            outcome = self.upstream_client.call_upstream(job, view)
         else:
             view = None
-            outcome = self.attempt.try_address(job, address, is_direct=False)
+            outcome = self.upstream_client.call_address(job, address, is_direct=False)
         if isinstance(outcome, Err):
-            self._log_failed_try(job, name, outcome.err_value)
+            self._log_failed_attempt(job, name, outcome.err_value)
             return outcome
-        return Ok(Served(outcome.ok_value, view, name, 1))
+        return Ok(UpstreamAnswer(outcome.ok_value, view, name, 1))
 
-    def _make_response(self, job: Job, served: Served) -> Result[HttpResponse, Failure]:
+    def _make_response(self, job: Job, served: UpstreamAnswer) -> Result[HttpResponse, Failure]:
         answer = served.answer
         headers = {
             **hdr.strip_own(answer.end_to_end_headers()),
@@ -134,16 +134,16 @@
             headers[hdr.REPLAYED] = "true"
         body = stream_answer(answer, served.view)
         if not answer.is_whole():
-            return Ok(HttpResponse(answer.status, headers, self._mark_cut(job, answer, body)))
+            return Ok(HttpResponse(answer.status, headers, self._relay_stream(job, answer, body)))
         try:
             whole = b"".join(body)
         except AnswerCutError:
-            message = "the answer was cut short"
+            message = "the upstream's response was truncated"
             return Err(Failure(Reason.UPSTREAM_FAILED, Verdict.RAN, message))
         return Ok(HttpResponse(answer.status, headers, whole))
 
-    def _mark_cut(self, job: Job, answer: Answer, body: Iterator[bytes]) -> Iterator[bytes]:
-        """Relay a stream; one that is cut short ends with an error event and no clean end."""
+    def _relay_stream(self, job: Job, answer: Answer, body: Iterator[bytes]) -> Iterator[bytes]:
+        """Relay a stream; a truncated one ends with an error event and an unclean close."""
         is_events = answer.headers.get("content-type", "").startswith("text/event-stream")
         try:
             yield from body
@@ -154,11 +154,11 @@
                 yield b"event: error\ndata: " + json.dumps({"error": error}).encode() + b"\n\n"
             raise
 
-    def _budget_of(self, account: str) -> RetryBudget:
+    def _get_budget(self, account: str) -> RetryBudget:
         with self._lock:
             return self._budgets.setdefault(account, RetryBudget())
 
-    def _log_failed_try(self, job: Job, upstream: str, failure: Failure) -> None:
+    def _log_failed_attempt(self, job: Job, upstream: str, failure: Failure) -> None:
         log_event(
             _log,
             "try_failed",
@@ -169,21 +169,21 @@
         )
 
 
-def _keep_doubt(failure: Failure) -> Failure:
+def _mark_may_have_run(failure: Failure) -> Failure:
     if failure.verdict is Verdict.RAN:
         return failure
     return replace(failure, verdict=Verdict.MAY_HAVE_RUN)
 
 
-def _all_rest(job: Job, rest_ms: int) -> Failure:
+def _all_queues_full(job: Job, rest_ms: int) -> Failure:
     message = f"the queues of all upstreams of service {job.service.name!r} are full"
     return Failure(Reason.QUEUE_FULL, Verdict.NOT_RUN, message, retry_after_ms=rest_ms)
 
 
-def _no_upstream(job: Job) -> Failure:
+def _no_usable_upstream(job: Job) -> Failure:
     return Failure(
         Reason.NO_UPSTREAM,
         Verdict.NOT_RUN,
-        f"service {job.service.name!r} has no upstream that can be used",
+        f"service {job.service.name!r} has no usable upstream",
         retry_after_ms=_RETRY_NO_UPSTREAM_MS,
     )
--- a/dalehollow/entry/shares.py
+++ b/dalehollow/entry/shares.py
@@ -1,8 +1,8 @@
-"""Hold this entry's share of each account's limit, and follow demand with the other entries.
+"""Distribute each account's rate limit over the entries according to demand.
 
-As long as the VM list names no entries, each limit is split evenly and nothing is exchanged. Once
-it names this one, each account's allocator (one of the listed entries) hands out shares by
-demand. An entry that cannot reach an allocator keeps what it holds.
+While the VM list contains no entries, each limit is split evenly and nothing is exchanged. Once
+the list contains this entry, each account's allocator (one of the listed entries) assigns shares
+by demand. An entry that cannot reach an allocator keeps its current share.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 from dalehollow.platform.vms import Vm
 from dalehollow.protocol import AskShares, Shares
 
-SMALL_DEPLOYMENT_ENTRIES = 32
+MAX_ENTRIES_FOR_GLOBAL_SHARES = 32
 IDLE_ACCOUNTS_PER_ROUND = 64
-HEADROOM = 1.25
-_DEMAND_WEIGHT = 0.5
-_ACTIVE_PER_S = 0.01
+DEMAND_HEADROOM = 1.25
+_DEMAND_SMOOTHING = 0.5
+_MIN_ACTIVE_DEMAND_PER_S = 0.01
 
 AskPeer = Callable[[str, AskShares], Result[Shares, str]]
-"""Ask the entry at a control address."""
+"""Request shares from the entry at a control address."""
 
 
 @dataclass
 class _Usage:
-    """Hold one account's bucket, what this entry holds beyond the floor, and its demand."""
+    """Hold an account's token bucket, its share above the guaranteed floor, and its demand."""
 
     account: Account
     bucket: TokenBucket
@@ -52,7 +52,7 @@
 
 @dataclass
 class ShareKeeper:
-    """Hold the shares of one entry."""
+    """Manage the rate-limit shares of one entry."""
 
     name: str
     hall: str
@@ -67,7 +67,7 @@
     _lock: threading.RLock = field(default_factory=threading.RLock)
 
     def take(self, account: str) -> int:
-        """Count a request; return 0 if it is within the account's share, else a wait in ms."""
+        """Count a request; return 0 if it is within the share, else the wait in milliseconds."""
         usage = self._usages.get(account)
         if usage is None:
             return 0
@@ -75,7 +75,7 @@
         return usage.bucket.take(self.clock())
 
     def apply(self, cfg: Config) -> None:
-        """Follow a configuration; shares are kept, and cut where a limit came down."""
+        """Apply a configuration; shares are kept, and reduced where a limit was lowered."""
         with self._lock:
             self._cfg = cfg
             known, self._usages = self._usages, {}
@@ -86,45 +86,45 @@
                 allocator.resize(self._usages[name].limit_per_s * (1 - FLOOR_SHARE))
 
     def take_list(self, vms: tuple[Vm, ...]) -> None:
-        """Take the VM list: who else is an entry, and whether entries are listed at all."""
+        """Update the known entries, and whether the VM list contains any."""
         with self._lock:
-            everywhere = list_entries(vms, None)
-            is_small = len(everywhere) <= SMALL_DEPLOYMENT_ENTRIES
-            self._entries = everywhere if is_small else list_entries(vms, self.hall)
+            all_entries = list_entries(vms, None)
+            is_small = len(all_entries) <= MAX_ENTRIES_FOR_GLOBAL_SHARES
+            self._entries = all_entries if is_small else list_entries(vms, self.hall)
             was_even = self._is_split_evenly
-            self._is_split_evenly = not everywhere
+            self._is_split_evenly = not all_entries
             if self._is_split_evenly != was_even and self._cfg is not None:
                 self._reset(self._cfg)
 
     def run_round(self, interval_s: float) -> None:
-        """Measure demand and ask each account's allocator; what gets no answer stays."""
+        """Measure demand and request shares; shares without a reply stay unchanged."""
         with self._lock:
             self._measure(interval_s)
             if self.name not in self._entries:
                 return
-            asks = self._group_asks()
+            asks = self._group_requests_by_allocator()
             addresses = dict(self._entries)
         for allocator, accounts in asks.items():
             ask = AskShares(self.name, accounts)
             if allocator == self.name:
-                self._take_shares(self.answer(ask))
+                self._apply_shares(self.answer(ask))
                 continue
             asked = self.ask_peer(addresses[allocator], ask)
             if isinstance(asked, Ok):
-                self._take_shares(asked.ok_value)
+                self._apply_shares(asked.ok_value)
 
     def answer(self, ask: AskShares) -> Shares:
-        """Answer as allocator; accounts that are not known here keep what they hold."""
+        """Assign shares as allocator; accounts unknown here keep their current shares."""
         now_s = self.clock()
         with self._lock:
             granted = tuple(
-                (name, self._answer_one(ask.sender, name, held, demand, now_s))
+                (name, self._allocate_one(ask.sender, name, held, demand, now_s))
                 for name, held, demand in ask.accounts
             )
         return Shares(granted)
 
     def dump(self) -> dict[str, object]:
-        """Return the shares of accounts that are in use."""
+        """Return the shares of active accounts."""
         with self._lock:
             return {
                 "mode": "even" if self._is_split_evenly else "by_demand",
@@ -136,19 +136,21 @@
                         "demand_per_s": round(u.demand_per_s, 3),
                     }
                     for name, u in self._usages.items()
-                    if u.demand_per_s > _ACTIVE_PER_S
+                    if u.demand_per_s > _MIN_ACTIVE_DEMAND_PER_S
                 },
             }
 
     def _make_usage(self, account: Account, cfg: Config, known: _Usage | None) -> _Usage:
         limit, floor = self._limit_and_floor(account, cfg)
-        most = limit * (1 - FLOOR_SHARE)
-        even = most / self._sharers(cfg)
+        max_held_per_s = limit * (1 - FLOOR_SHARE)
+        even_share_per_s = max_held_per_s / self._count_sharing_entries(cfg)
         if known is None:
-            held = even if self._is_split_evenly else 0.0
+            held = even_share_per_s if self._is_split_evenly else 0.0
             usage = _Usage(account, TokenBucket(1.0, 1.0), floor, limit, held)
         else:
-            held = even if self._is_split_evenly else min(known.held_per_s, most)
+            held = (
+                even_share_per_s if self._is_split_evenly else min(known.held_per_s, max_held_per_s)
+            )
             usage = _Usage(
                 account, known.bucket, floor, limit, held, known.attempts, known.demand_per_s
             )
@@ -156,19 +158,19 @@
         return usage
 
     def _limit_and_floor(self, account: Account, cfg: Config) -> tuple[float, float]:
-        """Return the limit that this entry's allocators hand out, and the floor within it."""
+        """Return the limit that this entry's allocators assign, and the floor within it."""
         limit = account.requests_per_s
-        if cfg.count_entries() > SMALL_DEPLOYMENT_ENTRIES and self.hall in cfg.halls:
+        if cfg.count_entries() > MAX_ENTRIES_FOR_GLOBAL_SHARES and self.hall in cfg.halls:
             limit *= cfg.halls[self.hall].entries / cfg.count_entries()
-        return limit, floor_of(limit, self._sharers(cfg))
+        return limit, floor_of(limit, self._count_sharing_entries(cfg))
 
-    def _sharers(self, cfg: Config) -> int:
-        if cfg.count_entries() > SMALL_DEPLOYMENT_ENTRIES and self.hall in cfg.halls:
+    def _count_sharing_entries(self, cfg: Config) -> int:
+        if cfg.count_entries() > MAX_ENTRIES_FOR_GLOBAL_SHARES and self.hall in cfg.halls:
             return max(1, cfg.halls[self.hall].entries)
         return cfg.count_entries()
 
     def _reset(self, cfg: Config) -> None:
-        """Begin anew with nothing but floors, or with even shares where entries are not listed."""
+        """Reset to the floors, or to even shares if no entries are listed."""
         self._allocators = {}
         for usage in self._usages.values():
             usage.held_per_s = 0.0
@@ -183,20 +185,20 @@
         for usage in self._usages.values():
             rate = usage.attempts / interval_s
             usage.attempts = 0
-            usage.demand_per_s += _DEMAND_WEIGHT * (rate - usage.demand_per_s)
+            usage.demand_per_s += _DEMAND_SMOOTHING * (rate - usage.demand_per_s)
 
-    def _group_asks(self) -> dict[str, tuple[tuple[str, float, float], ...]]:
+    def _group_requests_by_allocator(self) -> dict[str, tuple[tuple[str, float, float], ...]]:
         groups: dict[str, list[tuple[str, float, float]]] = {}
-        for name in self._pick_accounts():
+        for name in self._select_accounts():
             usage = self._usages[name]
-            wanted = max(0.0, usage.demand_per_s * HEADROOM - usage.floor_per_s)
+            wanted = max(0.0, usage.demand_per_s * DEMAND_HEADROOM - usage.floor_per_s)
             allocator = choose_allocator(name, self._entries)
             groups.setdefault(allocator, []).append((name, usage.held_per_s, wanted))
         return {allocator: tuple(accounts) for allocator, accounts in groups.items()}
 
-    def _pick_accounts(self) -> Iterable[str]:
-        """Return the accounts in use, and a few of the others in turn."""
-        active = [n for n, u in self._usages.items() if u.demand_per_s > _ACTIVE_PER_S]
+    def _select_accounts(self) -> Iterable[str]:
+        """Return the active accounts and the next batch of idle ones, round robin."""
+        active = [n for n, u in self._usages.items() if u.demand_per_s > _MIN_ACTIVE_DEMAND_PER_S]
         idle = [n for n in self._usages if n not in set(active)]
         if not idle:
             return active
@@ -204,7 +206,7 @@
         self._idle_cursor += IDLE_ACCOUNTS_PER_ROUND
         return active + (idle[start:] + idle[:start])[:IDLE_ACCOUNTS_PER_ROUND]
 
-    def _answer_one(
+    def _allocate_one(
         self, sender: str, name: str, held: float, demand: float, now_s: float
     ) -> float:
         usage = self._usages.get(name)
@@ -216,7 +218,7 @@
             self._allocators[name] = allocator
         return allocator.answer(ShareAsk(sender, held, demand), self._entries, now_s)
 
-    def _take_shares(self, shares: Shares) -> None:
+    def _apply_shares(self, shares: Shares) -> None:
         with self._lock:
             for name, held_per_s in shares.accounts:
                 usage = self._usages.get(name)
@@ -226,5 +228,5 @@
 
 
 def held_shares(keeper: ShareKeeper) -> Mapping[str, float]:
-    """Return what an entry may use of each account's limit a second, for tests and measures."""
+    """Return each account's share in requests/s, for tests and benchmarks."""
     return {name: u.floor_per_s + u.held_per_s for name, u in keeper._usages.items()}
