--- a/dalehollow/gateway/demand.py
+++ b/dalehollow/gateway/demand.py
@@ -12,7 +12,7 @@
 SHIFT_RATIO = 1.4
 """Demand has shifted if the longest rank under a window exceeds that under the remembered demand by
 this factor: windows of unchanged demand differ by up to 1.35, a shift gives 1.5 to 2.5."""
-KEPT_SCALE = 1_000
+STORED_SCALE = 1_000
 """A stored demand is rounded to thousandths of a layer's total: finer than any plan needs."""
 
 Demand = tuple[tuple[int, ...], ...]
@@ -83,6 +83,6 @@
     """Return a demand as integers, as stored for later planners."""
     totals = [sum(layer) or 1.0 for layer in demand]
     return tuple(
-        tuple(round(value * KEPT_SCALE / total) for value in layer)
+        tuple(round(value * STORED_SCALE / total) for value in layer)
         for layer, total in zip(demand, totals, strict=True)
     )
--- a/dalehollow/gateway/members.py
+++ b/dalehollow/gateway/members.py
@@ -16,7 +16,7 @@
 
 HEARD_LIFE_S = 5.0
 """A gateway that is not listed and was not heard for this time is gone. Longer than the interval
-between reports of another hall, and than the pause of a VM during live migration."""
+between reports of another hall, and than a VM pauses while it is moved."""
 
 _LOG = logging.getLogger(__name__)
 
--- a/dalehollow/gateway/pass_times.py
+++ b/dalehollow/gateway/pass_times.py
@@ -11,7 +11,7 @@
 MIN_PIECES = 6
 FEW_PIECES = 3
 """A long pass delays all streams; a single stream may be delayed for another reason."""
-SLOWER = 1.3
+SLOWER_RATIO = 1.3
 """Ratio of pass length to the usual one, for the same batch, from which `on_slower` is called."""
 STALE_S = 1.5
 """Pieces older than this do not reflect the current pass length."""
@@ -81,5 +81,5 @@
         elif length < self._usual_length:
             # Adapt slowly: after the batch grows, pauses lengthen one pass later.
             self._usual_length += USUAL_WEIGHT * (length - self._usual_length)
-        elif length > SLOWER * self._usual_length and self.on_slower is not None:
+        elif length > SLOWER_RATIO * self._usual_length and self.on_slower is not None:
             self.on_slower()
--- a/dalehollow/gateway/planner.py
+++ b/dalehollow/gateway/planner.py
@@ -39,7 +39,7 @@
 WINDOW_S = 0.3
 """Length of a demand window: some passes, with several requests at each rank."""
 EPOCH_RETRY_S = 0.1
-"""Reports are some 100 ms old: those of a group that has just opened still show it broken."""
+"""Reports are some hundred ms old: those of a group that has just opened still show it broken."""
 LONGEST_WINDOW_S = 0.6
 """A longer window may mix old and new demand, and detects a shift too late."""
 
--- a/dalehollow/gateway/reports.py
+++ b/dalehollow/gateway/reports.py
@@ -190,13 +190,15 @@
     def list_peers(self) -> list[Peer]:
         """Return the other gateways."""
         heard = self._peer_loads
-        near = [Peer(n, self._hall, address, n in heard) for n, address in self._hall_peers.items()]
-        far = [
+        same_hall = [
+            Peer(n, self._hall, address, n in heard) for n, address in self._hall_peers.items()
+        ]
+        other_halls = [
             Peer(name, hall, address, False)
             for hall, known in self._remote_halls.items()
             for name, address in known.members.items()
         ]
-        return near + far
+        return same_hall + other_halls
 
     def send(self, message: PeerMessage, address: _Address) -> None:
         """Send a message to one gateway."""
--- a/dalehollow/gateway/steps.py
+++ b/dalehollow/gateway/steps.py
@@ -15,7 +15,7 @@
 release, and for passes that are shorter than expected."""
 LOST_ORDER_MARGIN_S = 0.3
 """Extra margin while orders go unanswered: two repeats of an order."""
-SUSPECT_LENGTH = 3.0
+SUSPECT_LENGTH_RATIO = 3.0
 """Ratio of step length to the published one for the batch, above which each rank is checked. The
 initial map of a group, on which one rank has 2.8 times the mean load, makes it 2.5."""
 _MS_PER_S = 1000
@@ -62,7 +62,7 @@
         """
         batch = self.pass_times.mean_batch()
         usual_s = self.pass_times.pass_ms(batch) / _MS_PER_S
-        return batch >= 1 and self.step_s > SUSPECT_LENGTH * usual_s
+        return batch >= 1 and self.step_s > SUSPECT_LENGTH_RATIO * usual_s
 
     def has_begun(self, step: int) -> bool:
         """Return whether a step had begun at the last read."""
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -107,13 +107,13 @@
     """A gateway cut off for longer than the outage counts the grace from the outage's end."""
     clock = ManualClock()
     contact = _make_contact(clock)
-    news = []
-    contact.on_news = lambda: news.append(contact.settles_in_s())
+    updates = []
+    contact.on_news = lambda: updates.append(contact.settles_in_s())
     clock.now_s += 6.0
     contact.note_answered()
     assert contact.settles_in_s() == LAPSE_GRACE_S
     contact.note_told(0.1, 1.5)
-    assert news == [pytest.approx(LAPSE_GRACE_S - 1.5)]
+    assert updates == [pytest.approx(LAPSE_GRACE_S - 1.5)]
 
 
 def test_grace_after_restore_counts_from_first_gateway_to_hear_of_it() -> None:
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -153,13 +153,15 @@
     assert receiver.feed.revision == 5
 
 
-@pytest.mark.parametrize(("own", "told", "asks"), [(3, 7, True), (7, 7, False), (8, 7, False)])
-def test_gateway_asks_only_if_it_is_behind(own: int, told: int, asks: bool) -> None:
+@pytest.mark.parametrize(
+    ("own", "known_revision", "asks"), [(3, 7, True), (7, 7, False), (8, 7, False)]
+)
+def test_gateway_asks_only_if_it_is_behind(own: int, known_revision: int, asks: bool) -> None:
     async def main() -> None:
         dialled = _RefusingDial()
         copies = _make_gateway(own, dialled).copies
         task = asyncio.ensure_future(copies.run())
-        copies.note_told("host:1", told)
+        copies.note_told("host:1", known_revision)
         await asyncio.sleep(5.0)
         task.cancel()
         assert bool(dialled.addresses) is asks
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -296,11 +296,11 @@
 
 def test_advance_of_revision_is_signalled() -> None:
     feed = _make_hall("b", ManualClock())["b"].feed
-    told: list[int] = []
-    feed.on_moved = lambda: told.append(feed.revision)
+    signalled: list[int] = []
+    feed.on_moved = lambda: signalled.append(feed.revision)
     feed.note_read(0, (), 3)
     feed.note_read(3, (), 3)
     feed.take_changes(StoreChanges(3, 5, pack_changes((_change(5),))))
     feed.take_changes(StoreChanges(6, 7, pack_changes((_change(7),))))
     feed.take_changes(StoreChanges(2, 4, pack_changes((_change(4),))))
-    assert told == [3, 5]
+    assert signalled == [3, 5]
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -27,7 +27,7 @@
 @dataclass
 class _Duties:
     held: int | None = 1
-    kept: list[KeptPlan] = field(default_factory=list)
+    stored: list[KeptPlan] = field(default_factory=list)
 
     def fence(self, duty: str) -> int | None:
         return self.held
@@ -40,7 +40,7 @@
         self.held = None
 
     async def keep_plan(self, duty: str, plan: KeptPlan) -> None:
-        self.kept.append(plan)
+        self.stored.append(plan)
 
 
 class _CountingGroup(FakeGroup):
@@ -102,8 +102,8 @@
         await _wait_until(lambda: planner.changes >= 1)
         assert planner.current is not None
         assert sum(0 in held for held in planner.current[0]) > 1
-        await _wait_until(lambda: bool(duties.kept))
-        assert duties.kept[-1].demand[0][0] == max(duties.kept[-1].demand[0])
+        await _wait_until(lambda: bool(duties.stored))
+        assert duties.stored[-1].demand[0][0] == max(duties.stored[-1].demand[0])
         assert len({rank.version for rank in group.ranks} | {rank.prepared for rank in group.ranks})
 
     _run(scenario)
@@ -112,7 +112,7 @@
 def test_no_map_is_prepared_while_the_last_switch_has_not_taken_place() -> None:
     """Armed ranks refuse a new map.
 
-    The planner then lost half of each second, and the other ranks copied experts in vain.
+    A plan that was made too early lost half a second, and other ranks copied experts in vain.
     """
 
     async def scenario(planner: GroupPlanner, group: _CountingGroup, duties: _Duties) -> None:
@@ -151,9 +151,9 @@
         await _wait_until(lambda: planner.changes >= 1)
         group.paces = (1.0, 1.0, 4.0, 1.0)
         planner._note_slower()
-        await _wait_until(lambda: bool(duties.kept) and duties.kept[-1].slow_ranks == (2,))
+        await _wait_until(lambda: bool(duties.stored) and duties.stored[-1].slow_ranks == (2,))
         group.paces = (1.0,) * RANKS
-        await _wait_until(lambda: duties.kept[-1].slow_ranks == ())
+        await _wait_until(lambda: duties.stored[-1].slow_ranks == ())
 
     _run(scenario)
 
@@ -168,7 +168,7 @@
         await _wait_until(lambda: planner.changes >= 1)
         group.paces = (1.0, 1.0, 12.0, 1.0)
         planner.pass_times.pass_ms = lambda batch: 0.001
-        await _wait_until(lambda: bool(duties.kept) and duties.kept[-1].slow_ranks == (2,))
+        await _wait_until(lambda: bool(duties.stored) and duties.stored[-1].slow_ranks == (2,))
 
     _run(scenario)
 
@@ -194,9 +194,9 @@
 
         group.prepare = prepare_and_note  # type: ignore[method-assign]
         group.hot = 1
-        kept = len(duties.kept)
+        stored = len(duties.stored)
         planner.note_vacancy()
-        await _wait_until(lambda: len(duties.kept) > kept)
+        await _wait_until(lambda: len(duties.stored) > stored)
         group.prepare = prepare  # type: ignore[method-assign]
         if is_slower:
             for _ in range(50):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -129,9 +129,9 @@
         bench.become_relay()
         bench.socket.sent.clear()
         bench.reports._send_reports()
-        told = [m for m, address in bench.socket.sent if address in (FAR, FAR_2)]
+        reports_sent = [m for m, address in bench.socket.sent if address in (FAR, FAR_2)]
         report = HallReport("hall-1", {"s1": 3}, {}, {}, sender="gw", view=bench.feed.view())
-        assert told == [report]
+        assert reports_sent == [report]
 
     _run(scenario)
 
@@ -217,8 +217,8 @@
         bench.become_relay()
         bench.socket.sent.clear()
         bench.reports._send_reports()
-        told = {address for _, address in bench.socket.sent}
-        assert {newcomer, representative} <= told
+        recipients = {address for _, address in bench.socket.sent}
+        assert {newcomer, representative} <= recipients
         assert set(bench.members.there) >= {"newcomer", "representative"}
 
     _run(scenario)
@@ -256,9 +256,9 @@
         bench.socket.sent.clear()
         bench.upstreams.note_limit(upstream, 2.0, asyncio.get_running_loop().time())
         bench.reports._send_reports()
-        told = [m for m, address in bench.socket.sent if address in (FAR, FAR_2)]
-        assert len(told) == 1 and isinstance(told[0], HallSignals)
-        assert told[0].limits["s1"].rate_per_s == 2.0
+        reports_sent = [m for m, address in bench.socket.sent if address in (FAR, FAR_2)]
+        assert len(reports_sent) == 1 and isinstance(reports_sent[0], HallSignals)
+        assert reports_sent[0].limits["s1"].rate_per_s == 2.0
         bench.reports._send_reports()
         assert len([a for _, a in bench.socket.sent if a in (FAR, FAR_2)]) == 1
 
