--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -15,7 +15,7 @@
 
 from benchmarks.report import print_pairs
 from dalehollow.gateway.limit_tokens import Address
-from dalehollow.gateway.reports import DATAGRAM_HEAD_BYTES
+from dalehollow.gateway.reports import DATAGRAM_HEADER_BYTES
 from dalehollow.protocol.reports import PeerMessage
 from soak.signal_promises import count_allowed, count_most
 from tests.limit_world import LimitWorld, Server
@@ -66,7 +66,7 @@
     """Count the bytes that a gateway sends about tokens."""
 
     def count(message: PeerMessage, address: Address) -> None:
-        sent[name] += len(msgspec.msgpack.encode(message)) + DATAGRAM_HEAD_BYTES
+        sent[name] += len(msgspec.msgpack.encode(message)) + DATAGRAM_HEADER_BYTES
         send(message, address)
 
     return count
--- a/dalehollow/gateway/contact.py
+++ b/dalehollow/gateway/contact.py
@@ -18,7 +18,7 @@
 LAPSE_HEARTBEATS = 1.8
 """An entry lapses after three heartbeats without renewal, so at least two must be missed in an
 outage; less a tenth, for heartbeats that come early."""
-DEFAULT_ABSENCE_S = 1.2 * LAPSE_HEARTBEATS
+DEFAULT_OUTAGE_S = 1.2 * LAPSE_HEARTBEATS
 """For the default heartbeat of upstreams, 1.2 s."""
 
 _LOG = logging.getLogger(__name__)
@@ -27,10 +27,10 @@
 class StoreContact:
     """Track when the store last answered any gateway, and since when without an outage."""
 
-    def __init__(self, clock: Callable[[], float], absence_s: float = DEFAULT_ABSENCE_S) -> None:
-        """Create a tracker; entries may lapse in an outage longer than `absence_s`."""
+    def __init__(self, clock: Callable[[], float], outage_s: float = DEFAULT_OUTAGE_S) -> None:
+        """Create a tracker; entries may lapse in an outage longer than `outage_s`."""
         self._clock = clock
-        self._absence_s = absence_s
+        self._outage_s = outage_s
         self._answered_at_s = float("-inf")
         self._up_since_s = float("inf")
         # Start and end of the last outage. A gateway that has just started has read all items
@@ -43,7 +43,7 @@
         self._era = -1
         self._era_heard_at_s = self._restored_at_s = float("-inf")
         # Called when lapsed entries must be re-evaluated earlier than scheduled.
-        self.on_news: Callable[[], None] = lambda: None
+        self.on_lapse_update: Callable[[], None] = lambda: None
 
     def note_answered(self, at_s: float | None = None) -> None:
         """Record that the store answered this gateway now, or another one at `at_s`."""
@@ -52,7 +52,7 @@
         if at_s <= self._answered_at_s:
             return
         silence_s = at_s - self._answered_at_s
-        if silence_s > self._absence_s:
+        if silence_s > self._outage_s:
             self._up_since_s = at_s
             if math.isfinite(silence_s):
                 self._outage_began_at_s, self._outage_ended_at_s = self._answered_at_s, at_s
@@ -69,11 +69,11 @@
             self._era_heard_at_s = at_s
             if at_s < self._restored_at_s:
                 self._restored_at_s = at_s
-                self.on_news()
+                self.on_lapse_update()
 
-    def note_told(self, answer_age_s: float, unbroken_s: float) -> None:
+    def record_peer_contact(self, answer_age_s: float, unbroken_s: float) -> None:
         """Record how long ago the store answered a peer, and for how long without an outage."""
-        if answer_age_s > self._absence_s:
+        if answer_age_s > self._outage_s:
             # The peer does not know whether the store is up now.
             return
         now_s = self._clock()
@@ -83,10 +83,10 @@
         if since_s >= self._outage_ended_at_s:
             return
         self._outage_ended_at_s = since_s
-        if since_s - self._outage_began_at_s <= self._absence_s:
+        if since_s - self._outage_began_at_s <= self._outage_s:
             self._outage_began_at_s = self._outage_ended_at_s = float("-inf")
             log_event(_LOG, "store_was_there", unbroken_s=round(unbroken_s, 3))
-        self.on_news()
+        self.on_lapse_update()
 
     def answer_age_s(self) -> float:
         """Return how long ago the store last answered this gateway or any peer heard."""
@@ -102,7 +102,7 @@
 
     def may_have_lapsed(self) -> bool:
         """Return whether a missing entry may merely have lapsed, rather than been removed."""
-        return self.answer_age_s() > self._absence_s or self.settles_in_s() > 0.0
+        return self.answer_age_s() > self._outage_s or self.settles_in_s() > 0.0
 
     def settles_in_s(self) -> float:
         """Return the time until a missing entry counts as removed.
--- a/dalehollow/gateway/copies.py
+++ b/dalehollow/gateway/copies.py
@@ -54,7 +54,7 @@
     """A cached response body, with the request and the state of the feed it was built for."""
 
     after: int
-    taken: int
+    update_count: int
     body: bytes
 
 
@@ -71,7 +71,7 @@
         self._sources: dict[str, _Source] = {}
         self._is_behind = asyncio.Event()
 
-    def note_told(self, address: str, revision: int) -> None:
+    def record_peer_revision(self, address: str, revision: int) -> None:
         """Record the revision up to which the gateway at an address misses no change."""
         if revision <= self._feed.revision:
             self._sources.pop(address, None)
@@ -102,9 +102,9 @@
         if not self._feed.revision:
             caller.send_whole(HTTPStatus.NOT_FOUND, [], b"")
             return
-        if (self._cached.after, self._cached.taken) != (after, self._feed.taken):
+        if (self._cached.after, self._cached.update_count) != (after, self._feed.update_count):
             body = msgspec.msgpack.encode(self._feed.list_changes(after))
-            self._cached = _CachedResponse(after, self._feed.taken, body)
+            self._cached = _CachedResponse(after, self._feed.update_count, body)
         caller.send_whole(HTTPStatus.OK, [], self._cached.body)
 
     def _choose_source(self, wanted: int) -> str:
@@ -119,7 +119,7 @@
         before = self._feed.revision
         try:
             body = await self._call(address, before)
-            self._feed.take_changes(msgspec.msgpack.decode(body, type=StoreChanges))
+            self._feed.apply_changes(msgspec.msgpack.decode(body, type=StoreChanges))
         except (OSError, TimeoutError, ValueError) as exc:
             error = str(exc) or "timed out"
             log_event(_LOG, "copy_failed", logging.WARNING, source=address, error=error)
--- a/dalehollow/gateway/feed.py
+++ b/dalehollow/gateway/feed.py
@@ -63,18 +63,18 @@
         self._rng = rng
         self._send = send
         self.contact = contact or StoreContact(clock)
-        # Set by the consumer: `on_changes` receives single changes, `on_all` the complete set of
-        # items as of a revision.
+        # Set by the consumer: `on_changes` receives single changes, `on_snapshot` the complete set
+        # of items as of a revision.
         self.on_changes: Callable[[tuple[Change, ...]], None] = lambda changes: None
-        self.on_all: Callable[[tuple[Change, ...], int], None] = lambda changes, revision: None
+        self.on_snapshot: Callable[[tuple[Change, ...], int], None] = lambda changes, revision: None
         # Called when `revision` advances, so that peers can be told of it.
-        self.on_moved: Callable[[], None] = lambda: None
+        self.on_revision_advanced: Callable[[], None] = lambda: None
         # No change up to this revision is missing; some newer ones may be known too.
         self.revision = 0
         # Newest known change of each key, deletions included.
         self._newest_by_key: dict[str, Change] = {}
         # Counts each update of the feed; caches of `list_changes` are keyed by it.
-        self.taken = 0
+        self.update_count = 0
         # Deletions before this revision are unknown.
         self._complete_from = 0
         self._confirmed_at_s = float("-inf")
@@ -115,7 +115,7 @@
         contact = self.contact
         return StoreView(self.revision, age_s, contact.unbroken_s(), contact.era_heard_s())
 
-    def speaks_for_hall(self) -> bool:
+    def reports_to_other_halls(self) -> bool:
         """Return whether this gateway sends the hall's reports to other halls.
 
         The relay does. A hall whose gateways all get no answer from the store has no relay; then
@@ -170,7 +170,7 @@
         else:
             self._record_behind(state.revision)
 
-    def take_changes(self, message: StoreChanges) -> None:
+    def apply_changes(self, message: StoreChanges) -> None:
         """Apply changes that a relay forwarded, even if earlier ones are missing.
 
         Each change holds the full value of its key and does not depend on earlier ones. Only
@@ -194,7 +194,7 @@
             log_event(_LOG, "changes_unreadable", logging.WARNING, error=exc)
             return
         if not message.after:
-            self.on_all(changes, message.revision)
+            self.on_snapshot(changes, message.revision)
             self._advance(message.revision)
             return
         fresh = self.select_fresh(changes)
@@ -225,7 +225,7 @@
     def note_missing(self, key: str, revision: int) -> None:
         """Record that a key is absent from the complete set of items as of a revision."""
         self._newest_by_key[key] = Change(key, None, revision)
-        self.taken += 1
+        self.update_count += 1
 
     def select_fresh(self, changes: Iterable[Change]) -> tuple[Change, ...]:
         """Record and return the changes that are newer than the known change of their key.
@@ -236,7 +236,7 @@
         for change in changes:
             if change.revision > self.newest_revision(change.key):
                 self._newest_by_key[change.key] = change
-                self.taken += 1
+                self.update_count += 1
                 fresh.append(change)
             elif change.revision < self.newest_revision(change.key):
                 known = show_revision(self.newest_revision(change.key))
@@ -265,8 +265,8 @@
             self._complete_from = revision
         if revision > self.revision:
             self.revision = revision
-            self.taken += 1
-            self.on_moved()
+            self.update_count += 1
+            self.on_revision_advanced()
 
     def _log_older_relay(self, sender: str, state: RelayState) -> None:
         """Log once per revision that a relay is behind this gateway."""
--- a/dalehollow/gateway/members.py
+++ b/dalehollow/gateway/members.py
@@ -41,7 +41,7 @@
         self._current: dict[str, Member] = {}
 
     @property
-    def there(self) -> Mapping[str, Member]:
+    def current(self) -> Mapping[str, Member]:
         """Return the current members."""
         return self._current
 
--- a/dalehollow/gateway/plan_policy.py
+++ b/dalehollow/gateway/plan_policy.py
@@ -37,7 +37,7 @@
     expert if that takes longer.
     """
 
-    calm: PlanTerms
+    normal: PlanTerms
     pressed: PlanTerms
     pressed_share: float
     sampled_share: float
--- a/dalehollow/gateway/planner.py
+++ b/dalehollow/gateway/planner.py
@@ -81,7 +81,7 @@
     duties: Duties
     holder: Callable[[], str | None]
     # Number of gateways that try to take the duty before this one.
-    turn: Callable[[], int]
+    count_predecessors: Callable[[], int]
     port: RankPort
     ranks: Callable[[], Mapping[int, str]]
     figures: ExpertFigures
@@ -99,7 +99,7 @@
     _window: DemandWindow = field(init=False)
     _sample: list[int] = field(default_factory=list)
     _steps: StepClock = field(init=False)
-    _kept: list[list[float]] = field(default_factory=list)
+    _stored_demand: list[list[float]] = field(default_factory=list)
     _pressed_until_s: float = float("-inf")
     _is_stopping: bool = False
     _round_requested: bool = False
@@ -124,9 +124,9 @@
         self._is_stopping = True
         self._wake.set()
 
-    def note_kept_demand(self, demand: Demand) -> None:
+    def set_stored_demand(self, demand: Demand) -> None:
         """Set the demand of the last stored plan, used until this planner has its own window."""
-        self._kept = [list(map(float, layer)) for layer in demand]
+        self._stored_demand = [list(map(float, layer)) for layer in demand]
 
     async def run(self) -> None:
         """Run planning rounds while the duty is held, and try to take it otherwise."""
@@ -165,7 +165,7 @@
         now_s = asyncio.get_running_loop().time()
         if self.policy.is_pressing(self._steps.longest_s(), self.pause_objective_s()):
             self._pressed_until_s = now_s + PRESSED_FOR_S
-        return self.policy.pressed if now_s < self._pressed_until_s else self.policy.calm
+        return self.policy.pressed if now_s < self._pressed_until_s else self.policy.normal
 
     def note_epoch(self, epoch: int) -> None:
         """Request a round now if the group has reopened, with its initial map."""
@@ -189,7 +189,7 @@
     async def _try_take_duty(self) -> None:
         if self.holder() is not None or not self.ranks():
             return
-        steps = min(MAX_TAKE_DELAYS, self.turn()) + self.rng.random()
+        steps = min(MAX_TAKE_DELAYS, self.count_predecessors()) + self.rng.random()
         await asyncio.sleep(steps * TAKE_DELAY_S)
         if self.holder() is None and await self.duties.take_duty(self.duty):
             self._wake.set()
@@ -208,7 +208,7 @@
         if self._is_slower or self._stored_slow_ranks or self._steps.is_suspect():
             await self._update_paces()
         window_s = self._advance_window_s()
-        known = self._window.demand or self._kept
+        known = self._window.demand or self._stored_demand
         if is_begun and known:
             # The group starts with its initial map; the demand from before it broke still holds.
             self._window.begin(read)
@@ -374,7 +374,7 @@
         if self._stored_slow_ranks != self._find_slow_ranks():
             # Stored at once, without waiting for a plan: the requests sent to a rank are the larger
             # part of its work.
-            await self._keep_plan(self._window.demand or self._kept)
+            await self._keep_plan(self._window.demand or self._stored_demand)
 
     async def _apply_map(self, planned: GroupMap, copy_s: float, fence: int) -> SwitchOutcome:
         """Have all ranks copy the experts of a map, which takes `copy_s`, and switch to it."""
--- a/dalehollow/gateway/planners.py
+++ b/dalehollow/gateway/planners.py
@@ -64,7 +64,7 @@
         self._state.upstreams.note_slow_ranks(duty, plan.slow_ranks)
         self._state.move_from_slow_ranks(duty)
         if duty in self.by_group:
-            self.by_group[duty].note_kept_demand(plan.demand)
+            self.by_group[duty].set_stored_demand(plan.demand)
 
     def note_holder(self, duty: str, holder: str | None) -> None:
         """Record the holder of a duty, None if it is vacant."""
@@ -88,7 +88,7 @@
             duty=key,
             duties=self._session,
             holder=lambda: self.holders.get(key),
-            turn=lambda: self._count_duty_turn(key),
+            count_predecessors=lambda: self._count_duty_predecessors(key),
             port=RankClient(figures.layers, ranks, settings.link_mbps),
             ranks=ranks.read,
             figures=figures,
@@ -99,7 +99,7 @@
             pause_objective_s=lambda: self._state.pause_objective_s(service),
         )
 
-    def _count_duty_turn(self, group_key: str) -> int:
+    def _count_duty_predecessors(self, group_key: str) -> int:
         """Return how many gateways try to take the duty of a group before this one.
 
         Gateways of the hall with most of its ranks come first: they measure the group's passes
@@ -115,7 +115,7 @@
 
 def _make_plan_policy(settings: GatewaySettings) -> PlanPolicy:
     return PlanPolicy(
-        calm=PlanTerms(
+        normal=PlanTerms(
             settings.plan_interval_ms / _MS_PER_S,
             settings.plan_begin_gain,
             settings.plan_copy_price_mb,
--- a/dalehollow/gateway/process.py
+++ b/dalehollow/gateway/process.py
@@ -81,13 +81,13 @@
         self._auxiliary_connections: set[CallerConnection] = set()
         self._tasks: list[asyncio.Task[None]] = []
         self._members = Members(read_clock, self._note_member)
-        absence_s = settings.heartbeat_ms / _MS_PER_S * LAPSE_HEARTBEATS
+        outage_s = settings.heartbeat_ms / _MS_PER_S * LAPSE_HEARTBEATS
         self._feed = HallFeed(
             settings.name,
             read_clock,
             rng,
-            lambda changes: self._reports.send_near(changes),
-            StoreContact(read_clock, absence_s),
+            lambda changes: self._reports.send_to_hall(changes),
+            StoreContact(read_clock, outage_s),
         )
         self._copies = StoreCopies(self._feed, rng)
         self._era = StoreEra()
@@ -149,7 +149,7 @@
             hall=self._settings.hall,
             state=self.state,
             planners=self._planners.by_group,
-            members=self._members.there,
+            members=self._members.current,
             holders=self._planners.holders,
             is_ready=self.is_ready,
             store_age_s=self._feed.age_s,
@@ -172,7 +172,7 @@
             self._apply_table,
             self._apply_upstream,
             state.upstreams.remove,
-            self._take_listed,
+            self._apply_listed,
             self._planners.note_holder,
             self._planners.note_plan,
         )
@@ -188,7 +188,7 @@
         member = Member(address, self._settings.hall)
         self._session = Session(self._settings.store, self._settings.name, member, era=self._era)
         self._planners = GroupPlanners(
-            self._settings, self.state, self._session, self._members.there
+            self._settings, self.state, self._session, self._members.current
         )
         self._tasks.append(keep_running("reports", self._reports.run))
         self._tasks.append(keep_running("tokens", self._tokens.run))
@@ -241,19 +241,19 @@
         elif not listed.group_is_open and before.group_is_open:
             self.state.health.note_refused(listed.group_key, now_s)
 
-    def _take_listed(self, name: str, member: Member | None) -> None:
+    def _apply_listed(self, name: str, member: Member | None) -> None:
         self._members.note_listed(name, member)
         if name == self._settings.name and member is None:
             self._session.note_unlisted()
 
     def _note_member(self, name: str, member: Member | None) -> None:
         self._reports.note_member(name, member)
-        self.state.note_gateways(len(self._members.there))
+        self.state.note_gateways(len(self._members.current))
         log_event(
             _LOG,
             "member_gone" if member is None else "member_up",
             name=name,
-            count=len(self._members.there),
+            count=len(self._members.current),
         )
 
     async def _listen(
--- a/dalehollow/gateway/reports.py
+++ b/dalehollow/gateway/reports.py
@@ -45,7 +45,7 @@
 """Less than half an engine pass, so that a change within a pass is reported before the next."""
 IDLE_INTERVAL_S = 0.25
 """Less than half of `RELAY_SILENT_S`, after which a relay counts as silent."""
-DATAGRAM_HEAD_BYTES = 28
+DATAGRAM_HEADER_BYTES = 28
 SILENT_AFTER_S = 1.5
 """Six idle intervals: the load of a gateway that is gone must not block slots for long."""
 HALL_SILENT_AFTER_S = 3.0
@@ -53,7 +53,7 @@
 LIMIT_END_REPORTED_S = 10.0
 """The end of an upstream's limit is reported for this time, so that it reaches other halls."""
 SIGNALS_SHARE = 0.5
-"""Limits and suspicions may take this share of `far_bytes_per_s`, on top of the load totals."""
+"""Limits and suspicions may take this share of `remote_bytes_per_s`, on top of the load totals."""
 REPRESENTATIVE_SILENT_S = 1.0
 """A gateway of another hall that is silent for this time is no longer its hall's representative."""
 
@@ -97,7 +97,7 @@
         upstreams: UpstreamSet,
         health: GroupHealth,
         on_change: Callable[[], None],
-        far_bytes_per_s: float,
+        remote_bytes_per_s: float,
         feed: HallFeed,
         copies: StoreCopies,
         members: Members,
@@ -105,19 +105,19 @@
     ) -> None:
         """Create the exchange; `on_change` is called after each report received.
 
-        Load totals to other halls stay within `far_bytes_per_s`. Of a received report, the store
+        Load totals to other halls stay within `remote_bytes_per_s`. Of a received report, the store
         state goes to `feed`, the revision to `copies`, the sender to `members`, and the suspected
         requests to `crashes`.
         """
         self._name = name
         self._hall = hall
-        self._remote_bytes_per_s = far_bytes_per_s
+        self._remote_bytes_per_s = remote_bytes_per_s
         self._next_total_at_s = self._next_signals_at_s = 0.0
         self._upstreams = upstreams
         self._health = health
         self._on_change = on_change
         self._feed = feed
-        feed.on_moved = self.note_change
+        feed.on_revision_advanced = self.note_change
         self._copies = copies
         self._members = members
         self._crashes = crashes
@@ -158,7 +158,7 @@
         else:
             # A relay forwards responses of the store at once, so the store has just answered.
             self._feed.contact.note_answered()
-            self._feed.take_changes(message)
+            self._feed.apply_changes(message)
 
     def error_received(self, exc: Exception) -> None:
         """Log an undelivered datagram; a peer that is gone is detected by its silence."""
@@ -204,7 +204,7 @@
         """Send a message to one gateway."""
         self._send(msgspec.msgpack.encode(message), address)
 
-    def send_near(self, message: PeerMessage) -> None:
+    def send_to_hall(self, message: PeerMessage) -> None:
         """Send a message to each other gateway of the hall."""
         data = msgspec.msgpack.encode(message)
         for address in self._hall_peers.values():
@@ -252,7 +252,7 @@
             hall = self._remote_halls.get(report.hall)
             if hall is not None:
                 hall.representative, hall.heard_at_s = addr[:2], asyncio.get_running_loop().time()
-            self.send_near(msgspec.structs.replace(report, is_passed_on=True))
+            self.send_to_hall(msgspec.structs.replace(report, is_passed_on=True))
         self._on_change()
 
     def _handle_hall_signals(self, signals: HallSignals) -> None:
@@ -261,7 +261,7 @@
         self._update_limits(signals.limits)
         self._crashes.take_told(signals.suspects)
         if not signals.is_passed_on:
-            self.send_near(msgspec.structs.replace(signals, is_passed_on=True))
+            self.send_to_hall(msgspec.structs.replace(signals, is_passed_on=True))
 
     def _record_sender(self, name: str, hall: str, address: _Address) -> None:
         """Record the sender: a gateway listens at the port that it sends from."""
@@ -274,9 +274,9 @@
             return
         if view.revision:
             self._feed.contact.note_era(read_era(view.revision), view.era_heard_s)
-        self._feed.contact.note_told(view.answer_age_s, view.unbroken_s)
+        self._feed.contact.record_peer_contact(view.answer_age_s, view.unbroken_s)
         if address is not None:
-            self._copies.note_told(f"{address[0]}:{address[1]}", view.revision)
+            self._copies.record_peer_revision(f"{address[0]}:{address[1]}", view.revision)
 
     def _update_health(
         self, served_age_s: Mapping[str, float], refused_age_s: Mapping[str, float]
@@ -320,8 +320,8 @@
         report = LoadReport(
             self._name, in_hand, served, refused, unknown, relay, view, limits, suspects
         )
-        self.send_near(report)
-        if not self._feed.speaks_for_hall():
+        self.send_to_hall(report)
+        if not self._feed.reports_to_other_halls():
             return
         if now_s >= self._next_total_at_s:
             total = HallReport(
@@ -352,7 +352,7 @@
         data = msgspec.msgpack.encode(message)
         for hall in self._remote_halls.values():
             self._send(data, hall.select_address(now_s))
-        return (len(data) + DATAGRAM_HEAD_BYTES) * len(self._remote_halls)
+        return (len(data) + DATAGRAM_HEADER_BYTES) * len(self._remote_halls)
 
     def _send(self, data: bytes, address: _Address) -> None:
         if self._transport is not None:
--- a/dalehollow/platform/items.py
+++ b/dalehollow/platform/items.py
@@ -76,8 +76,8 @@
         self._listener = listener
         self._feed = feed
         feed.on_changes = self.take_changes
-        feed.on_all = self.take_all
-        feed.contact.on_news = self._drop_lapsed
+        feed.on_snapshot = self.take_all
+        feed.contact.on_lapse_update = self._drop_lapsed
         self._known: set[str] = set()
         # When each upstream that is known started, and which are gone.
         self._started_at_ms: dict[str, int] = {}
--- a/soak/defects.py
+++ b/soak/defects.py
@@ -61,7 +61,7 @@
 
 def _fetch_no_copies() -> None:
     """Learn from the store and the hall's relay only."""
-    StoreCopies.note_told = lambda *args: None  # type: ignore[method-assign]
+    StoreCopies.record_peer_revision = lambda *args: None  # type: ignore[method-assign]
 
 
 def _know_no_eras() -> None:
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -234,7 +234,7 @@
         """Start a gateway; the others know of it once the store lists it."""
         loop = asyncio.get_running_loop()
         rng = random.Random(f"{name}{self.rng.random()}")
-        feed = HallFeed(name, loop.time, rng, lambda changes: reports.send_near(changes))
+        feed = HallFeed(name, loop.time, rng, lambda changes: reports.send_to_hall(changes))
         copies = StoreCopies(feed, rng, lambda address, _: self.connect_peer(name, address))
         upstreams = UpstreamSet(rng, hall)
         members = Members(loop.time, lambda name, member: reports.note_member(name, member))
@@ -244,7 +244,7 @@
             upstreams,
             GroupHealth(),
             lambda: None,
-            far_bytes_per_s=16e3,
+            remote_bytes_per_s=16e3,
             feed=feed,
             copies=copies,
             members=members,
--- a/tests/late_schedules.py
+++ b/tests/late_schedules.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from dalehollow.gateway.contact import DEFAULT_ABSENCE_S, LAPSE_GRACE_S
+from dalehollow.gateway.contact import DEFAULT_OUTAGE_S, LAPSE_GRACE_S
 from tests.hall_world import HallWorld, Path, WorldGateway, use_world
 from tests.virtual_time import run_virtual
 
@@ -72,7 +72,7 @@
         gateways = self.world.gateways.values()
         is_heard = self.world.store.fault == "none" and any(g.path is Path.PASS for g in gateways)
         now_s = self.world.now_s()
-        if is_heard and now_s - self.heard_at_s > DEFAULT_ABSENCE_S:
+        if is_heard and now_s - self.heard_at_s > DEFAULT_OUTAGE_S:
             self.world.store_back_at_s = now_s
         if is_heard:
             self.heard_at_s = now_s
--- a/tests/limit_world.py
+++ b/tests/limit_world.py
@@ -70,7 +70,7 @@
         limits = RetryLimits(10.0, 0.2, 90.0, 8)
         crashes = CrashWatch(loop.time, lambda: None)
         self.state = GatewayState(HEADERS, rng, self.upstreams, limits, 1.0, crashes)
-        feed = HallFeed(name, loop.time, rng, lambda changes: self.reports.send_near(changes))
+        feed = HallFeed(name, loop.time, rng, lambda changes: self.reports.send_to_hall(changes))
         self.members = Members(loop.time, lambda n, m: self.reports.note_member(n, m))
         self.reports = PeerReports(
             name,
@@ -78,7 +78,7 @@
             self.upstreams,
             self.state.health,
             self.state.grant_all,
-            far_bytes_per_s=16e3,
+            remote_bytes_per_s=16e3,
             feed=feed,
             copies=StoreCopies(feed, rng),
             members=self.members,
--- a/tests/test_config_in_time.py
+++ b/tests/test_config_in_time.py
@@ -148,7 +148,7 @@
 
 
 def _fetch_no_copies(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(StoreCopies, "note_told", lambda *args: None)
+    monkeypatch.setattr(StoreCopies, "record_peer_revision", lambda *args: None)
 
 
 def _rely_on_old_knowledge(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -157,13 +157,13 @@
 
 
 def _drop_what_follows_a_gap(monkeypatch: pytest.MonkeyPatch) -> None:
-    take = HallFeed.take_changes
+    take = HallFeed.apply_changes
 
     def take_in_order(taking: HallFeed, message: Any) -> None:
         if message.after <= taking.revision:
             take(taking, message)
 
-    monkeypatch.setattr(HallFeed, "take_changes", take_in_order)
+    monkeypatch.setattr(HallFeed, "apply_changes", take_in_order)
     # Alone, the copies would make up for it.
     _fetch_no_copies(monkeypatch)
 
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -7,12 +7,12 @@
 from dalehollow.gateway.contact import LAPSE_GRACE_S, StoreContact
 from tests.manual_clock import ManualClock
 
-ABSENCE_S = 2.0
+OUTAGE_S = 2.0
 
 
 def _make_contact(clock: ManualClock) -> StoreContact:
     """Return a contact that the store has answered for 10 s."""
-    contact = StoreContact(clock, ABSENCE_S)
+    contact = StoreContact(clock, OUTAGE_S)
     for _ in range(10):
         contact.note_answered()
         clock.now_s += 1.0
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("silence_s", "may_have_lapsed"), [(ABSENCE_S - 0.01, False), (ABSENCE_S + 0.01, True)]
+    ("silence_s", "may_have_lapsed"), [(OUTAGE_S - 0.01, False), (OUTAGE_S + 0.01, True)]
 )
 def test_only_a_long_outage_may_let_entries_lapse(silence_s: float, may_have_lapsed: bool) -> None:
     clock = ManualClock()
@@ -42,12 +42,12 @@
     clock = ManualClock()
     contact = _make_contact(clock)
     refuted = []
-    contact.on_news = lambda: refuted.append(clock.now_s)
+    contact.on_lapse_update = lambda: refuted.append(clock.now_s)
     clock.now_s += 5.0
     contact.note_answered()
     assert contact.may_have_lapsed()
     clock.now_s += 0.1
-    contact.note_told(0.05, 100.0)
+    contact.record_peer_contact(0.05, 100.0)
     assert not contact.may_have_lapsed()
     assert refuted == [clock.now_s]
 
@@ -57,13 +57,13 @@
     contact = _make_contact(clock)
     for _ in range(20):
         clock.now_s += 0.25
-        contact.note_told(0.1, 50.0)
+        contact.record_peer_contact(0.1, 50.0)
         assert not contact.may_have_lapsed()
     contact.note_answered()
     assert not contact.may_have_lapsed()
 
 
-@pytest.mark.parametrize("answer_age_s", [ABSENCE_S + 0.1, float("inf")])
+@pytest.mark.parametrize("answer_age_s", [OUTAGE_S + 0.1, float("inf")])
 def test_peer_cut_off_from_store_refutes_nothing(
     answer_age_s: float,
 ) -> None:
@@ -71,13 +71,13 @@
     contact = _make_contact(clock)
     clock.now_s += 5.0
     contact.note_answered()
-    contact.note_told(answer_age_s, 100.0)
+    contact.record_peer_contact(answer_age_s, 100.0)
     assert contact.may_have_lapsed()
 
 
 def test_new_gateway_vouches_for_no_time_before_its_start() -> None:
     clock = ManualClock()
-    contact = StoreContact(clock, ABSENCE_S)
+    contact = StoreContact(clock, OUTAGE_S)
     assert contact.unbroken_s() == 0.0
     contact.note_answered()
     assert not contact.may_have_lapsed()
@@ -87,19 +87,19 @@
     other = _make_contact(clock)
     clock.now_s += 5.0
     other.note_answered()
-    other.note_told(0.0, 0.5)
+    other.record_peer_contact(0.0, 0.5)
     assert other.may_have_lapsed()
 
 
 def test_reported_uptime_does_not_grow_between_gateways() -> None:
     clock = ManualClock()
-    first, second = StoreContact(clock, ABSENCE_S), StoreContact(clock, ABSENCE_S)
+    first, second = StoreContact(clock, OUTAGE_S), StoreContact(clock, OUTAGE_S)
     first.note_answered()
     begun_s = clock.now_s
     for step in range(1000):
         clock.now_s += 0.0004 + step % 3 * 0.0003
-        second.note_told(first.answer_age_s(), first.unbroken_s())
-        first.note_told(second.answer_age_s(), second.unbroken_s())
+        second.record_peer_contact(first.answer_age_s(), first.unbroken_s())
+        first.record_peer_contact(second.answer_age_s(), second.unbroken_s())
     assert first.unbroken_s() <= clock.now_s - begun_s
 
 
@@ -108,11 +108,11 @@
     clock = ManualClock()
     contact = _make_contact(clock)
     updates = []
-    contact.on_news = lambda: updates.append(contact.settles_in_s())
+    contact.on_lapse_update = lambda: updates.append(contact.settles_in_s())
     clock.now_s += 6.0
     contact.note_answered()
     assert contact.settles_in_s() == LAPSE_GRACE_S
-    contact.note_told(0.1, 1.5)
+    contact.record_peer_contact(0.1, 1.5)
     assert updates == [pytest.approx(LAPSE_GRACE_S - 1.5)]
 
 
@@ -128,7 +128,7 @@
     contact.note_era(2, LAPSE_GRACE_S)
     assert not contact.may_have_lapsed()
     # A gateway that starts in an era assumes no loss by the restore, and reports its age as 0.
-    newcomer = StoreContact(clock, ABSENCE_S)
+    newcomer = StoreContact(clock, OUTAGE_S)
     newcomer.note_answered()
     newcomer.note_era(3)
     assert not newcomer.may_have_lapsed()
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -56,7 +56,7 @@
     """Return a gateway that has read an empty store at `revision`, or nothing if it is 0."""
     feed = HallFeed("a", read_clock, random.Random(1), lambda changes: None)
     gateway = _Gateway(feed, StoreCopies(feed, random.Random(1), dial))
-    feed.on_changes, feed.on_all = gateway.take, gateway.take_all
+    feed.on_changes, feed.on_snapshot = gateway.take, gateway.take_all
     if revision:
         gateway.read(0, (), revision)
     return gateway
@@ -93,7 +93,7 @@
         address = await listen(holder.copies.answer)
         task = asyncio.ensure_future(receiver.copies.run())
         async with asyncio.timeout(TIMEOUT_S):
-            receiver.copies.note_told(address, holder.feed.revision)
+            receiver.copies.record_peer_revision(address, holder.feed.revision)
             while receiver.feed.revision < holder.feed.revision:
                 await asyncio.sleep(0.001)
         task.cancel()
@@ -161,7 +161,7 @@
         dialled = _RefusingDial()
         copies = _make_gateway(own, dialled).copies
         task = asyncio.ensure_future(copies.run())
-        copies.note_told("host:1", known_revision)
+        copies.record_peer_revision("host:1", known_revision)
         await asyncio.sleep(5.0)
         task.cancel()
         assert bool(dialled.addresses) is asks
@@ -174,7 +174,7 @@
         dialled = _RefusingDial()
         gateway = _make_gateway(3, dialled)
         task = asyncio.ensure_future(gateway.copies.run())
-        gateway.copies.note_told("host:1", 7)
+        gateway.copies.record_peer_revision("host:1", 7)
         await asyncio.sleep(copies_module.COPY_AFTER_S / 2)
         gateway.read(3, (_change(7),), 7)
         await asyncio.sleep(5.0)
@@ -189,11 +189,11 @@
         dialled = _RefusingDial()
         copies = _make_gateway(3, dialled).copies
         task = asyncio.ensure_future(copies.run())
-        copies.note_told("silent:1", 7)
+        copies.record_peer_revision("silent:1", 7)
         for _ in range(20):
             await asyncio.sleep(0.25)
-            copies.note_told("heard:1", 7)
-            copies.note_told("older:1", 2)
+            copies.record_peer_revision("heard:1", 7)
+            copies.record_peer_revision("older:1", 2)
         asked = dialled.addresses[:]
         task.cancel()
         assert set(asked) == {"silent:1", "heard:1"}
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -106,9 +106,9 @@
     clock = ManualClock()
     gateway = _make_synced(clock)
     first = StoreChanges(10, 12, pack_changes((_change(11), _change(12))))
-    gateway.feed.take_changes(first)
-    gateway.feed.take_changes(first)
-    gateway.feed.take_changes(StoreChanges(11, 13, pack_changes((_change(12), _change(13)))))
+    gateway.feed.apply_changes(first)
+    gateway.feed.apply_changes(first)
+    gateway.feed.apply_changes(StoreChanges(11, 13, pack_changes((_change(12), _change(13)))))
     assert gateway.taken == [_change(11), _change(12), _change(13)]
     assert gateway.feed.revision == 13
     # A late response of the gateway's own watch repeats a change that is already known.
@@ -118,7 +118,7 @@
 def test_gateway_with_a_gap_reads_store() -> None:
     clock = ManualClock()
     gateway = _make_synced(clock)
-    gateway.feed.take_changes(StoreChanges(11, 12, pack_changes((_change(12),))))
+    gateway.feed.apply_changes(StoreChanges(11, 12, pack_changes((_change(12),))))
     # The change is applied, but the revision does not advance past the gap.
     assert gateway.taken == [_change(12)]
     assert gateway.feed.revision == 10
@@ -175,7 +175,7 @@
 @pytest.mark.parametrize("packed", [b"", b"no zlib", pack_changes(())[:-3] + b"abc"])
 def test_unreadable_changes_are_ignored(packed: bytes) -> None:
     gateway = _make_synced(ManualClock())
-    gateway.feed.take_changes(StoreChanges(10, 11, packed))
+    gateway.feed.apply_changes(StoreChanges(10, 11, packed))
     assert gateway.feed.revision == 10
 
 
@@ -206,7 +206,7 @@
         for name, gateway in hall.items():
             for message in gateway.inbox:
                 if rng.random() < 0.8:
-                    gateway.feed.take_changes(message)
+                    gateway.feed.apply_changes(message)
             gateway.inbox.clear()
             state = gateway.feed.relay_state()
             for other in hall:
@@ -259,7 +259,7 @@
     gateway = _make_synced(ManualClock(), 10)
     change = Change("key-9", b"after the restore", RESTORED)
     gateway.feed.select_fresh((_change(9), _change(10)))
-    gateway.feed.take_changes(StoreChanges(RESTORED - 1, RESTORED, pack_changes((change,))))
+    gateway.feed.apply_changes(StoreChanges(RESTORED - 1, RESTORED, pack_changes((change,))))
     assert gateway.taken == [change]
     # Changes before this one may be missing, so the store must be read.
     assert gateway.feed.revision == 10
@@ -275,7 +275,7 @@
     gateway.feed.note_read(0, (), RESTORED)
     assert gateway.feed.revision == RESTORED
     # Changes from a gateway that is still in the earlier era are ignored.
-    gateway.feed.take_changes(StoreChanges(10, 11, pack_changes((_change(11),))))
+    gateway.feed.apply_changes(StoreChanges(10, 11, pack_changes((_change(11),))))
     assert gateway.taken == [] and gateway.feed.revision == RESTORED
 
 
@@ -297,10 +297,10 @@
 def test_advance_of_revision_is_signalled() -> None:
     feed = _make_hall("b", ManualClock())["b"].feed
     signalled: list[int] = []
-    feed.on_moved = lambda: signalled.append(feed.revision)
+    feed.on_revision_advanced = lambda: signalled.append(feed.revision)
     feed.note_read(0, (), 3)
     feed.note_read(3, (), 3)
-    feed.take_changes(StoreChanges(3, 5, pack_changes((_change(5),))))
-    feed.take_changes(StoreChanges(6, 7, pack_changes((_change(7),))))
-    feed.take_changes(StoreChanges(2, 4, pack_changes((_change(4),))))
+    feed.apply_changes(StoreChanges(3, 5, pack_changes((_change(5),))))
+    feed.apply_changes(StoreChanges(6, 7, pack_changes((_change(7),))))
+    feed.apply_changes(StoreChanges(2, 4, pack_changes((_change(4),))))
     assert signalled == [3, 5]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -21,24 +21,24 @@
     for _ in range(2):
         members.note_listed("a", None)
     assert changes == [("a", LISTED), ("a", None)]
-    assert members.there == {}
+    assert members.current == {}
 
 
 def test_unlisted_gateway_remains_until_it_is_silent() -> None:
     members, clock, changes = _make_members()
     members.note_listed("a", LISTED)
     members.note_heard("a", HEARD)
-    assert members.there == {"a": LISTED}
+    assert members.current == {"a": LISTED}
     members.note_listed("a", None)
-    assert members.there == {"a": HEARD}
+    assert members.current == {"a": HEARD}
     for _ in range(10):
         clock.now_s += HEARD_LIFE_S / 2
         members.note_heard("a", HEARD)
         members.forget_silent()
-    assert members.there == {"a": HEARD}
+    assert members.current == {"a": HEARD}
     clock.now_s += HEARD_LIFE_S + 0.1
     members.forget_silent()
-    assert members.there == {}
+    assert members.current == {}
     assert changes == [("a", LISTED), ("a", HEARD), ("a", None)]
 
 
@@ -48,4 +48,4 @@
     members.note_listed("a", LISTED)
     clock.now_s += HEARD_LIFE_S + 0.1
     members.forget_silent()
-    assert members.there == {"a": LISTED}
+    assert members.current == {"a": LISTED}
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -72,7 +72,7 @@
             duty="desk",
             duties=duties,
             holder=lambda: None,
-            turn=lambda: 0,
+            count_predecessors=lambda: 0,
             port=group,
             ranks=lambda: {rank: f"rank-{rank}" for rank in range(RANKS)},
             figures=FIGURES,
@@ -265,20 +265,20 @@
 
     async def scenario(planner: GroupPlanner, group: _CountingGroup, duties: _Duties) -> None:
         now_s = asyncio.get_running_loop().time()
-        calm, pressed = PlanTerms(4.0, 0.3, 0.0), PlanTerms(0.5, 0.1, 0.0)
-        planner.policy = PlanPolicy(calm, pressed, 0.5, 0.5, memory=0, copy_s=1.0)
+        normal, pressed = PlanTerms(4.0, 0.3, 0.0), PlanTerms(0.5, 0.1, 0.0)
+        planner.policy = PlanPolicy(normal, pressed, 0.5, 0.5, memory=0, copy_s=1.0)
         planner.pause_objective_s = lambda: 0.1
-        assert planner._select_terms() is calm
+        assert planner._select_terms() is normal
         for _ in range(10):
             planner.pass_times.note_pause(0.04)
-        assert planner._select_terms() is calm
+        assert planner._select_terms() is normal
         for _ in range(10):
             planner.pass_times.note_pause(0.09)
         assert planner._select_terms() is pressed
         planner.pass_times._pieces.clear()
         assert planner._select_terms() is pressed
         planner._pressed_until_s = now_s
-        assert planner._select_terms() is calm
+        assert planner._select_terms() is normal
 
     _run(scenario)
 
--- a/tests/test_rank_groups.py
+++ b/tests/test_rank_groups.py
@@ -184,14 +184,14 @@
         await bench.until(lambda: len(bench.gateway.state.upstreams.of_group("desk/g1")) == 2)
         gateway = bench.gateway
         for number in range(4):
-            gateway._take_listed(f"near-{number}", Member("127.0.0.1:9", "hall"))
-            gateway._take_listed(f"far-{number}", Member("127.0.0.1:9", "elsewhere"))
-        assert gateway._planners._count_duty_turn("desk/g1") <= 4
+            gateway._apply_listed(f"near-{number}", Member("127.0.0.1:9", "hall"))
+            gateway._apply_listed(f"far-{number}", Member("127.0.0.1:9", "elsewhere"))
+        assert gateway._planners._count_duty_predecessors("desk/g1") <= 4
         for rank in range(2):
             entry = {"name": "g1", "epoch": 1, "rank": rank, "state": "open"}
             bench.list_server(f"g1-{rank}", "127.0.0.1:9", group=entry, size=2, zone="elsewhere")
         await bench.until(lambda: gateway.state.upstreams.home_hall("desk/g1") == "elsewhere")
-        assert gateway._planners._count_duty_turn("desk/g1") >= 4
+        assert gateway._planners._count_duty_predecessors("desk/g1") >= 4
 
     run_bench(scenario)
 
@@ -236,6 +236,6 @@
         await bench.until(lambda: len(bench.gateway._planners.by_group) == 2)
         bench.gateway._planners.note_plan("desk/g0", KeptPlan(((9, 0, 0, 0),)))
         planners = bench.gateway._planners.by_group
-        assert planners["desk/g0"]._kept and not planners["desk/g1"]._kept
+        assert planners["desk/g0"]._stored_demand and not planners["desk/g1"]._stored_demand
 
     run_bench(scenario)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -72,7 +72,7 @@
     async def run() -> None:
         upstreams = UpstreamSet(random.Random(1), "hall-1")
         clock = ManualClock()
-        feed = HallFeed("gw", clock, random.Random(1), lambda c: peer_reports.send_near(c))
+        feed = HallFeed("gw", clock, random.Random(1), lambda c: peer_reports.send_to_hall(c))
         members = Members(clock, lambda name, member: peer_reports.note_member(name, member))
         crashes = CrashWatch(clock, lambda: None)
         peer_reports = PeerReports(
@@ -81,7 +81,7 @@
             upstreams,
             GroupHealth(),
             lambda: None,
-            far_bytes_per_s=1e9,
+            remote_bytes_per_s=1e9,
             feed=feed,
             copies=StoreCopies(feed, random.Random(1)),
             members=members,
@@ -219,7 +219,7 @@
         bench.reports._send_reports()
         recipients = {address for _, address in bench.socket.sent}
         assert {newcomer, representative} <= recipients
-        assert set(bench.members.there) >= {"newcomer", "representative"}
+        assert set(bench.members.current) >= {"newcomer", "representative"}
 
     _run(scenario)
 
