--- a/dalehollow/gateway/feed.py
+++ b/dalehollow/gateway/feed.py
@@ -1,8 +1,8 @@
 """Change feed of the store: one gateway per hall watches it and relays changes to the others.
 
-Each watch counts against the store's call limit, so the number of watches must not grow with the
-number of gateways. One gateway per hall, the relay, keeps a watch open and forwards changes in
-datagrams. The others rely on it only while its reports confirm that they miss no change older than
+Each watch is a call that the store counts, so the number of calls must not grow with the number of
+gateways. One gateway per hall, the relay, keeps a watch open and forwards changes in datagrams. The
+others rely on it only while its reports confirm that they miss no change older than
 `STALE_S`; otherwise, and after a gap, each gateway reads the store itself. A gateway that reads the
 store successfully and hears no relay becomes the relay; of two relays, the one whose name sorts
 first remains.
