--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -72,7 +72,7 @@
     async def run() -> None:
         upstreams = UpstreamSet(random.Random(1), "hall-1")
         clock = ManualClock()
-        feed = HallFeed("gw", clock, random.Random(1), lambda c: peer_reports.send_near(c))
+        feed = HallFeed("gw", clock, random.Random(1), lambda c: peer_reports.send_to_hall(c))
         members = Members(clock, lambda name, member: peer_reports.note_member(name, member))
         crashes = CrashWatch(clock, lambda: None)
         peer_reports = PeerReports(
@@ -81,7 +81,7 @@
             upstreams,
             GroupHealth(),
             lambda: None,
-            far_bytes_per_s=1e9,
+            remote_bytes_per_s=1e9,
             feed=feed,
             copies=StoreCopies(feed, random.Random(1)),
             members=members,
@@ -129,9 +129,9 @@
         bench.become_relay()
         bench.socket.sent.clear()
         bench.reports._send_reports()
-        told = [m for m, address in bench.socket.sent if address in (FAR, FAR_2)]
+        reports_sent = [m for m, address in bench.socket.sent if address in (FAR, FAR_2)]
         report = HallReport("hall-1", {"s1": 3}, {}, {}, sender="gw", view=bench.feed.view())
-        assert told == [report]
+        assert reports_sent == [report]
 
     _run(scenario)
 
@@ -217,9 +217,9 @@
         bench.become_relay()
         bench.socket.sent.clear()
         bench.reports._send_reports()
-        told = {address for _, address in bench.socket.sent}
-        assert {newcomer, representative} <= told
-        assert set(bench.members.there) >= {"newcomer", "representative"}
+        recipients = {address for _, address in bench.socket.sent}
+        assert {newcomer, representative} <= recipients
+        assert set(bench.members.current) >= {"newcomer", "representative"}
 
     _run(scenario)
 
@@ -256,9 +256,9 @@
         bench.socket.sent.clear()
         bench.upstreams.note_limit(upstream, 2.0, asyncio.get_running_loop().time())
         bench.reports._send_reports()
-        told = [m for m, address in bench.socket.sent if address in (FAR, FAR_2)]
-        assert len(told) == 1 and isinstance(told[0], HallSignals)
-        assert told[0].limits["s1"].rate_per_s == 2.0
+        reports_sent = [m for m, address in bench.socket.sent if address in (FAR, FAR_2)]
+        assert len(reports_sent) == 1 and isinstance(reports_sent[0], HallSignals)
+        assert reports_sent[0].limits["s1"].rate_per_s == 2.0
         bench.reports._send_reports()
         assert len([a for _, a in bench.socket.sent if a in (FAR, FAR_2)]) == 1
 
