--- a/tests/fake_ranks.py
+++ b/tests/fake_ranks.py
@@ -1,4 +1,4 @@
-"""Fake a rank group that checks, at each pass, that all ranks hold one map."""
+"""Fake a rank group that checks in each pass that all ranks use the same map."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass
 class FakeRank:
-    """Hold what one rank was told; `highest` is the newest version it ever prepared."""
+    """Hold the state of one rank; `highest` is the highest version it has ever prepared."""
 
     version: int = 0
     prepared: int = 0
@@ -21,23 +21,23 @@
 
 
 class MapsDifferError(AssertionError):
-    """Report a pass that began with two maps."""
+    """Report a pass that started with two maps."""
 
 
 @dataclass
 class FakeGroup:
-    """Hold the ranks and the orders that will be carried out late.
+    """Hold the ranks and the orders that will be executed late.
 
-    `fate` decides for each order: `taken`, `lost` (never carried out) or `late` (not answered,
-    carried out at some later moment), or `deaf` (carried out, not answered).
+    `choose_delivery` returns the outcome of each order: `delivered`, `lost` (never executed),
+    `delayed` (no reply, executed at some later moment) or `reply_lost` (executed, no reply).
     """
 
     size: int
-    fate: Callable[[str, int], str] = lambda name, rank: "taken"
+    choose_delivery: Callable[[str, int], str] = lambda name, rank: "delivered"
     step: int = 10
     epoch: int = 1
     ranks: list[FakeRank] = field(default_factory=list)
-    late: list[tuple[str, int, tuple[int, ...]]] = field(default_factory=list)
+    delayed: list[tuple[str, int, tuple[int, ...]]] = field(default_factory=list)
     orders: list[tuple[str, int]] = field(default_factory=list)
     on_order: Callable[[str, int], None] | None = None
 
@@ -45,40 +45,40 @@
         self.ranks = [FakeRank() for _ in range(self.size)]
 
     def run_pass(self) -> bool:
-        """Begin the next pass unless the group is held; fail if the maps differ in it."""
-        following = self.step + 1
-        if any(rank.held is not None and rank.held <= following for rank in self.ranks):
+        """Start the next pass unless the group is held; raise if the maps differ in it."""
+        next_step = self.step + 1
+        if any(rank.held is not None and rank.held <= next_step for rank in self.ranks):
             return False
-        self.step = following
+        self.step = next_step
         for rank in self.ranks:
-            if rank.armed is not None and rank.armed[1] == following:
+            if rank.armed is not None and rank.armed[1] == next_step:
                 rank.version, rank.armed = rank.armed[0], None
         if len({rank.version for rank in self.ranks}) > 1:
-            raise MapsDifferError(f"step {following}: {[r.version for r in self.ranks]}")
+            raise MapsDifferError(f"step {next_step}: {[r.version for r in self.ranks]}")
         return True
 
-    def carry_out_late(self, rng: random.Random) -> None:
-        """Carry out one of the orders that are still under way."""
-        if self.late:
-            name, rank, values = self.late.pop(rng.randrange(len(self.late)))
-            self._carry_out(name, rank, values)
+    def execute_delayed(self, rng: random.Random) -> None:
+        """Execute one of the delayed orders."""
+        if self.delayed:
+            name, rank, values = self.delayed.pop(rng.randrange(len(self.delayed)))
+            self._execute(name, rank, values)
 
-    def _order(self, name: str, rank: int, *values: int) -> OrderReply:
+    def _deliver(self, name: str, rank: int, *values: int) -> OrderReply:
         self.orders.append((name, rank))
         if self.on_order is not None:
             self.on_order(name, rank)
-        fate = self.fate(name, rank)
-        if fate == "lost":
+        delivery = self.choose_delivery(name, rank)
+        if delivery == "lost":
             return OrderReply.UNANSWERED
-        if fate == "late":
-            self.late.append((name, rank, values))
+        if delivery == "delayed":
+            self.delayed.append((name, rank, values))
             return OrderReply.UNANSWERED
-        taken = self._carry_out(name, rank, values)
-        if fate == "deaf":
+        is_accepted = self._execute(name, rank, values)
+        if delivery == "reply_lost":
             return OrderReply.UNANSWERED
-        return OrderReply.TAKEN if taken else OrderReply.REFUSED
+        return OrderReply.TAKEN if is_accepted else OrderReply.REFUSED
 
-    def _carry_out(self, name: str, rank: int, values: tuple[int, ...]) -> bool:
+    def _execute(self, name: str, rank: int, values: tuple[int, ...]) -> bool:
         state, (*rest, epoch) = self.ranks[rank], values
         if epoch != self.epoch:
             return False
@@ -116,19 +116,19 @@
         return True
 
     async def prepare(self, rank: int, version: int, group_map: GroupMap, epoch: int) -> OrderReply:
-        return self._order("prepare", rank, version, epoch)
+        return self._deliver("prepare", rank, version, epoch)
 
     async def arm(self, rank: int, version: int, step: int, epoch: int) -> OrderReply:
-        return self._order("arm", rank, version, step, epoch)
+        return self._deliver("arm", rank, version, step, epoch)
 
     async def disarm(self, rank: int, version: int, epoch: int) -> OrderReply:
-        return self._order("disarm", rank, version, epoch)
+        return self._deliver("disarm", rank, version, epoch)
 
     async def hold(self, rank: int, step: int, epoch: int) -> OrderReply:
-        return self._order("hold", rank, step, epoch)
+        return self._deliver("hold", rank, step, epoch)
 
     async def release(self, rank: int, step: int, epoch: int) -> OrderReply:
-        return self._order("release", rank, step, epoch)
+        return self._deliver("release", rank, step, epoch)
 
     async def read_report(self, rank: int) -> RankReport | None:
         state = self.ranks[rank]
--- a/tests/group_bench.py
+++ b/tests/group_bench.py
@@ -1,4 +1,4 @@
-"""Run a small rank group, its gates and planners in one process, with faults at their calls."""
+"""Run a rank group, its sidecars and planners in one process, with faults injected into calls."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 Hook = Callable[[SwitchStep, Callable[[], Result[Any, str]]], Result[Any, str]]
 
 
-def call_plainly(step: SwitchStep, call: Callable[[], Result[Any, str]]) -> Result[Any, str]:
+def pass_through(step: SwitchStep, call: Callable[[], Result[Any, str]]) -> Result[Any, str]:
     return call()
 
 
 class InProcessHost:
-    """Give the stand-in's orders the interface that a sidecar sees."""
+    """Adapt the stand-in engine to the interface that a sidecar uses."""
 
     def __init__(self, group: RankGroupStandIn, hook: Hook) -> None:
         self._group = group
@@ -63,10 +63,10 @@
 
 @dataclass
 class GroupBench:
-    """Hold the group, a gate for each rank and the hooks through which faults come."""
+    """Hold the group, a voter for each rank and the hooks that inject faults."""
 
-    planner_hook: Hook = call_plainly
-    gate_hook: Hook = call_plainly
+    planner_hook: Hook = pass_through
+    sidecar_hook: Hook = pass_through
     group: RankGroupStandIn = field(init=False)
     voters: list[RankVoter] = field(init=False)
 
@@ -82,19 +82,19 @@
             voter.stop()
         self.group.stop()
 
-    def restart_gate(self, rank: int) -> None:
-        """Replace a gate by a new one that knows only what the engine keeps."""
+    def restart_sidecar(self, rank: int) -> None:
+        """Replace a sidecar's voter by a new one without state, which resumes from the engine."""
         self.voters[rank].stop()
         self.voters[rank] = self._make_voter(rank)
         self.voters[rank].resume()
 
-    def make_planner(self, hook: Hook = call_plainly) -> Planner:
+    def make_planner(self, hook: Hook = pass_through) -> Planner:
         links = GroupLinks(
             read=lambda rank: hook(
-                SwitchStep.READ, lambda: InProcessHost(self.group, call_plainly).read(rank)
+                SwitchStep.READ, lambda: InProcessHost(self.group, pass_through).read(rank)
             ),
             load=lambda rank, order: hook(
-                SwitchStep.LOAD, lambda: InProcessHost(self.group, call_plainly).load(rank, order)
+                SwitchStep.LOAD, lambda: InProcessHost(self.group, pass_through).load(rank, order)
             ),
             vote=lambda rank, proposal: hook(SwitchStep.PROPOSE, lambda: self._ask(rank, proposal)),
             read_map=lambda: Ok(self.group.read_map(0)),
@@ -102,8 +102,8 @@
         )
         return Planner("wide", RANKS, POLICIES["skew"], links, max_moves=100)
 
-    def run_planner(self, fence: int, hook: Hook = call_plainly) -> Planner:
-        """Let a planner read twice, so that it has a window of counts, then plan and propose."""
+    def run_planner(self, fence: int, hook: Hook = pass_through) -> Planner:
+        """Run a planner twice, since it needs two reads for a window of counts, and return it."""
         planner = self.make_planner(hook)
         planner.run_once(fence)
         self.wait_steps(20)
@@ -111,7 +111,7 @@
         return planner
 
     def wait_steps(self, count: int) -> None:
-        """Wait until the group has run so many more steps."""
+        """Wait until the group has run `count` more steps."""
         wanted = self.group.steps() + count
         wait_for(lambda: self.group.steps() >= wanted, f"{count} more steps")
 
@@ -123,10 +123,10 @@
 
     def _make_voter(self, rank: int) -> RankVoter:
         def ask_peer(peer: int, proposal: Proposal) -> Result[Vote, str]:
-            return self.gate_hook(SwitchStep.ASK_PEERS, lambda: self._ask(peer, proposal))
+            return self.sidecar_hook(SwitchStep.ASK_PEERS, lambda: self._ask(peer, proposal))
 
         def hook(step: SwitchStep, call: Callable[[], Result[Any, str]]) -> Result[Any, str]:
-            return self.gate_hook(step, call)
+            return self.sidecar_hook(step, call)
 
         return RankVoter("wide", rank, RANKS, InProcessHost(self.group, hook), ask_peer)
 
@@ -135,31 +135,31 @@
 
 
 class Killed(Exception):
-    """End a planner at one of its calls."""
+    """Kill a planner at one of its calls."""
 
 
 @dataclass
 class FaultAt:
-    """Bring a fault about at the first call of a step, and let all later calls through."""
+    """Inject a fault at the first call of a step, and let all other calls pass."""
 
     step: SwitchStep
-    bring: Callable[[Callable[[], Result[Any, str]]], Result[Any, str]]
-    happened: threading.Event = field(default_factory=threading.Event)
+    inject: Callable[[Callable[[], Result[Any, str]]], Result[Any, str]]
+    was_injected: threading.Event = field(default_factory=threading.Event)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def __call__(self, step: SwitchStep, call: Callable[[], Result[Any, str]]) -> Result[Any, str]:
         with self._lock:
-            is_first = step is self.step and not self.happened.is_set()
+            is_first = step is self.step and not self.was_injected.is_set()
             if is_first:
-                self.happened.set()
-        return self.bring(call) if is_first else call()
+                self.was_injected.set()
+        return self.inject(call) if is_first else call()
 
 
 def lose(call: Callable[[], Result[Any, str]]) -> Result[Any, str]:
     return Err("lost")
 
 
-def double(call: Callable[[], Result[Any, str]]) -> Result[Any, str]:
+def duplicate(call: Callable[[], Result[Any, str]]) -> Result[Any, str]:
     call()
     return call()
 
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -1,4 +1,4 @@
-"""Test that at most one process holds a duty, and that its fence rises, over pauses and faults."""
+"""Test that a lease has at most one holder and an increasing fence under pauses and faults."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 FAULTS = ("", "", "", "down", "lose_answer", "lose_call")
 
 
-class OneHolder(RuleBasedStateMachine):
-    """Let processes seek the duty, pause, restart, and meet every fault of the service."""
+class LeaseMachine(RuleBasedStateMachine):
+    """Acquire, release and restart in random order under every fault of the key-value store."""
 
     @initialize()
     def begin(self) -> None:
         self.now_s = 100.0
         self.kv = FakeKeyValue()
-        self.duties = {name: self.make(name) for name in NAMES}
-        self.tenures: dict[int, str] = {}
+        self.duties = {name: self.make_lease(name) for name in NAMES}
+        self.fence_owners: dict[int, str] = {}
 
-    def make(self, name: str) -> Duty:
+    def make_lease(self, name: str) -> Duty:
         return Duty(self.kv, "duty/g", name, clock=lambda: self.now_s)
 
     @rule(step_s=st.floats(0.1, 4.0))
@@ -32,24 +32,26 @@
         self.now_s += step_s
 
     @rule(name=st.sampled_from(NAMES), fault=st.sampled_from(FAULTS))
-    def seek(self, name: str, fault: str) -> None:
+    def acquire(self, name: str, fault: str) -> None:
         self.kv.fault = fault
         self.duties[name].advance()
         self.kv.fault = ""
-        self.note_tenure(name)
+        self.check_fence_owner(name)
 
     @rule(name=st.sampled_from(NAMES))
     def restart(self, name: str) -> None:
-        self.duties[name] = self.make(name)
+        self.duties[name] = self.make_lease(name)
 
     @rule(name=st.sampled_from(NAMES))
     def release(self, name: str) -> None:
         self.duties[name].release()
 
-    def note_tenure(self, name: str) -> None:
+    def check_fence_owner(self, name: str) -> None:
         fence = self.duties[name].fence()
         if fence is not None:
-            assert self.tenures.setdefault(fence, name) == name, "one fence for two holders"
+            assert self.fence_owners.setdefault(fence, name) == name, (
+                "two holders have the same fence"
+            )
 
     @invariant()
     def at_most_one(self) -> None:
@@ -57,10 +59,10 @@
         assert len(holders) <= 1, holders
 
 
-OneHolder.TestCase.settings = settings(
+LeaseMachine.TestCase.settings = settings(
     max_examples=300, stateful_step_count=40, deadline=None, derandomize=True
 )
-TestOneHolder = OneHolder.TestCase
+TestLeaseMachine = LeaseMachine.TestCase
 
 
 def make_pair(margin_ms: int = 1_000) -> tuple[FakeKeyValue, list[float], Duty, Duty]:
@@ -69,7 +71,7 @@
     return kv, now, duties[0], duties[1]
 
 
-def test_take_over_after_the_lease_and_a_higher_fence() -> None:
+def test_takeover_after_lease_expiry_raises_the_fence() -> None:
     _, now, a, b = make_pair()
     assert a.advance() == 1
     assert b.advance() is None
@@ -81,7 +83,7 @@
     assert a.advance() is None or a.fence() != 1
 
 
-def test_paused_holder_finds_its_time_over_before_it_acts() -> None:
+def test_paused_holder_sees_its_lease_expired_before_it_acts() -> None:
     _, now, a, b = make_pair()
     a.advance()
     b.advance()
@@ -90,7 +92,7 @@
     assert b.advance() == 2
 
 
-def test_released_duty_is_taken_at_once() -> None:
+def test_released_lease_is_acquired_at_once() -> None:
     _, _, a, b = make_pair()
     a.advance()
     a.release()
@@ -98,16 +100,16 @@
 
 
 @pytest.mark.parametrize("fault", ["lose_answer", "lose_call", "down"])
-def test_fault_of_the_service_while_seeking(fault: str) -> None:
+def test_store_fault_during_acquisition(fault: str) -> None:
     kv, _, a, _ = make_pair()
     kv.fault = fault
     fence = a.advance()
-    # A lost answer is settled by reading back; a lost call and an outage leave nothing held.
+    # After a lost answer the record is read back; after a lost call or an outage nothing is held.
     assert fence == (1 if fault == "lose_answer" else None)
 
 
-def test_seeded_fault_a_lease_counted_too_long() -> None:
-    """Let the holder count its lease beyond its end: two hold the duty at once."""
+def test_injected_fault_lease_counted_too_long() -> None:
+    """Show that two processes hold the lease at once if the holder counts it beyond its end."""
     _, now, a, b = make_pair(margin_ms=-2_000)
     a.advance()
     b.advance()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""Test the order and the bounds of the gate."""
+"""Test the queue order and the limits of the gate."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return thread
 
 
-def test_urgent_goes_first_then_arrival() -> None:
+def test_queue_is_ordered_by_priority_then_arrival() -> None:
     gate, order = make_gate(), list[str]()
     gate.acquire("normal", read_clock() + FAR_S).unwrap()
     threads = [
@@ -81,7 +81,7 @@
     assert order == ["b2:displaced", "b1"]
 
 
-def test_wait_beyond_the_deadline_is_refused_before_it_begins() -> None:
+def test_request_is_refused_if_its_expected_wait_exceeds_the_deadline() -> None:
     gate = make_gate()
     gate.acquire("normal", read_clock() + FAR_S).unwrap()
     gate.release(service_ms=10_000)
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("urgent_extra", [0, 2])
 @settings(max_examples=60, deadline=None)
 @given(data=st.data())
-def test_never_more_than_the_bound(urgent_extra: int, data: st.DataObject) -> None:
+def test_running_requests_never_exceed_the_limit(urgent_extra: int, data: st.DataObject) -> None:
     slots = data.draw(st.integers(1, 4))
     gate = make_gate(slots, urgent_extra, queue_limit=0)
     running = 0
--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -1,4 +1,4 @@
-"""Run a rank group with real sidecars: the planner dies, the demand turns, no step is mixed."""
+"""Test a rank group with real sidecars: after the planner is killed another one takes over."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
             told: dict[str, Any] = json.loads(answer.read())
             return told
 
-        def turn_demand(seed: int) -> None:
+        def change_demand(seed: int) -> None:
             rng = random.Random(seed)
             demand = [[rng.expovariate(1.0) * 20_000 for _ in range(16)] for _ in range(2)]
             body = json.dumps(demand).encode()
@@ -88,13 +88,13 @@
             ]
 
         wait_for(lambda: len(holders()) == 1, "one planner")
-        turn_demand(2)
-        wait_for(lambda: min(history()["versions"]) >= 1, "a new map in force")
+        change_demand(2)
+        wait_for(lambda: min(history()["versions"]) >= 1, "a new active map")
         first = holders()[0]
         sidecars[first].kill()
-        turn_demand(3)
+        change_demand(3)
         wait_for(lambda: len(holders()) == 1 and holders()[0] != first, "another planner")
-        # A group whose sidecar is gone goes on with the map it has.
+        # A group without one of its sidecars continues with its current map.
         before = history()["steps"]
-        wait_for(lambda: history()["steps"] > before + 50, "the group goes on")
+        wait_for(lambda: history()["steps"] > before + 50, "the group continues")
         assert history()["mixed_steps"] == []
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -1,4 +1,4 @@
-"""Check that layers of experts are improved within their bounds."""
+"""Test that expert placement improves and respects the limits on slots and copies."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     assert improved.longest_after <= improved.longest_before + 1e-9
 
 
-def test_a_hot_expert_is_shared_out() -> None:
+def test_hot_expert_is_replicated() -> None:
     demand = [100.0] + [1.0] * 23
     improved = _improve_layer(deal_in_turn(6, 24), demand, Bounds(5, 2, 0.01, 2))
     assert improved.longest_after < improved.longest_before / 3
@@ -50,7 +50,7 @@
     assert improved.layer == layer
 
 
-def test_a_dearer_copy_moves_less() -> None:
+def test_higher_copy_price_reduces_copies() -> None:
     demand = [float(1 + (e * 7) % 13) ** 2 for e in range(24)]
     copies = [
         _improve_layer(deal_in_turn(6, 24), demand, Bounds(5, 2, price, 2)).copies
@@ -60,13 +60,16 @@
     assert copies[-1] == 0
 
 
-def test_loads_are_over_the_mean() -> None:
+def test_loads_are_relative_to_the_mean() -> None:
     loads = layer_loads(((0,), (1, 2), (1,)), [3.0, 4.0, 2.0])
     assert loads == [1.0, 4 / 3, 2 / 3]
 
 
-def test_what_a_rank_copies_is_bounded_over_all_layers_and_goes_where_it_brings_most() -> None:
-    """A rank with two copies to make held the better map back for twice as long."""
+def test_rank_copies_are_limited_over_all_layers_and_spent_on_the_largest_gain() -> None:
+    """Limit a rank's copies over all layers, and spend them on the layer that gains most.
+
+    Without a limit over all layers, a rank with two copies delayed the better map twice as long.
+    """
     hot, mild = [100.0] + [1.0] * 23, [4.0] + [1.0] * 23
     layers = [deal_in_turn(6, 24)] * 3
     *_, improved = improve_layers(layers, [mild, hot, mild], Bounds(5, 2, 0.0, 1))
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Test the planning of expert maps against naive placements."""
+"""Test the planner of expert maps against naive computations."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     slots=st.integers(2, 5),
     policy=st.sampled_from(sorted(POLICIES)),
 )
-def test_plan_is_sound_and_never_worse(seed: int, ranks: int, slots: int, policy: str) -> None:
+def test_plan_is_valid_and_never_worse(seed: int, ranks: int, slots: int, policy: str) -> None:
     experts = ranks * slots - random.Random(seed).randint(0, ranks)
     before, now = make_demand(seed, experts, 2), make_demand(seed + 1, experts, 2)
     current = ExpertMap(tuple(make_layer(d, ranks, slots) for d in before))
@@ -52,7 +52,7 @@
     assert plan.skew_after < 0.1 < plan.skew_before
 
 
-def test_policies_are_those_that_a_configuration_may_name() -> None:
+def test_policies_match_those_allowed_in_a_configuration() -> None:
     assert sorted(POLICIES) == sorted(model.POLICIES)
 
 
@@ -94,7 +94,7 @@
         assert plan.moves == 0, plan.reason
 
 
-def test_real_change_is_noticed() -> None:
+def test_demand_change_is_detected() -> None:
     average = DemandAverage()
     for _ in range(5):
         average.add([[10_000.0] * 8, [10_000.0] * 8])
@@ -107,6 +107,6 @@
         make_layer([1.0] * 9, 2, 4)
 
 
-def test_matching_keeps_what_is_there() -> None:
+def test_matching_keeps_experts_on_their_ranks() -> None:
     before = ((0, 1), (2, 3), (4, 5))
     assert match_ranks(before, ((4, 5), (0, 1), (2, 6))) == ((0, 1), (2, 6), (4, 5))
--- a/tests/test_rank_groups.py
+++ b/tests/test_rank_groups.py
@@ -1,4 +1,4 @@
-"""Let one service have several rank groups: each is read, judged, planned and chosen by itself."""
+"""Test that the rank groups of a service are read, checked, planned and chosen independently."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 SLOTS = 2
 
 
-def _list_rank(group: str, rank: int, **changes: object) -> ListedUpstream:
+def _make_listed_rank(group: str, rank: int, **changes: object) -> ListedUpstream:
     name = f"{group}-{rank}"
     known = {"group_size": SIZE, "group_epoch": 1, **changes}
     return ListedUpstream(
@@ -43,12 +43,12 @@
     upstreams = UpstreamSet(random.Random(5), "hall")
     for rank in range(SIZE):
         for group in GROUPS:
-            upstreams.put(_list_rank(group, rank))
+            upstreams.put(_make_listed_rank(group, rank))
     return upstreams
 
 
-class _Desk:
-    """Hold one service of two groups, and a clock that stands still unless told."""
+class _AdmissionFixture:
+    """Hold the admission of one service with two groups, and a manual clock."""
 
     def __init__(self) -> None:
         self.now_s = 1000.0
@@ -67,14 +67,14 @@
 
 
 def test_interleaved_ranks_are_read_by_group() -> None:
-    """Ranks of the same number overwrote each other, and two maps met in one step."""
+    """Ranks with equal numbers in two groups overwrote each other, so a step mixed two maps."""
     upstreams = _make_set()
     for group in GROUPS:
         ranks = GroupRanks(upstreams, f"desk/{group}")
         assert dict(ranks) == {rank: f"at-{group}-{rank}" for rank in range(SIZE)}
 
 
-def test_groups_of_the_same_name_in_two_services_are_two() -> None:
+def test_groups_of_the_same_name_in_two_services_are_distinct() -> None:
     upstreams = _make_set()
     for rank in range(SIZE):
         name = f"x{rank}"
@@ -84,10 +84,10 @@
 
 
 BAD_ENTRIES = {
-    "a rank out of range": [_list_rank("g0", SIZE)],
-    "a negative rank": [_list_rank("g0", -1)],
-    "two sizes": [_list_rank("g0", 2, group_size=SIZE + 1)],
-    "two servers of one rank": [_list_rank("g0", 2, incarnation="twin", address="at-twin")],
+    "a rank out of range": [_make_listed_rank("g0", SIZE)],
+    "a negative rank": [_make_listed_rank("g0", -1)],
+    "two sizes": [_make_listed_rank("g0", 2, group_size=SIZE + 1)],
+    "two servers of one rank": [_make_listed_rank("g0", 2, incarnation="twin", address="at-twin")],
 }
 
 
@@ -106,53 +106,55 @@
     assert upstreams.choose("desk", (), 0.0) is not None
 
 
-def test_a_restarted_rank_counts_by_its_newer_epoch() -> None:
-    """The entry of the life before stays until it lapses, some heartbeats later."""
+def test_restarted_rank_is_read_by_its_newer_epoch() -> None:
+    """The entry of the previous process stays listed for some heartbeats; the newer one counts."""
     upstreams = _make_set()
     for rank in range(SIZE):
         changes: dict[str, object] = {"incarnation": "g0-2-again", "address": "again"}
-        upstreams.put(_list_rank("g0", rank, group_epoch=2, **(changes if rank == 2 else {})))
+        upstreams.put(
+            _make_listed_rank("g0", rank, group_epoch=2, **(changes if rank == 2 else {}))
+        )
     assert GroupRanks(upstreams, "desk/g0")[2] == "again"
 
 
-def test_a_rank_that_changes_its_group_leaves_the_other() -> None:
+def test_rank_that_changes_its_group_leaves_the_previous_one() -> None:
     upstreams = _make_set()
-    upstreams.put(_list_rank("g1", 0, incarnation="g0-0", address="at-g0-0", group_epoch=2))
+    upstreams.put(_make_listed_rank("g1", 0, incarnation="g0-0", address="at-g0-0", group_epoch=2))
     assert dict(GroupRanks(upstreams, "desk/g0")) == {}
     assert GroupRanks(upstreams, "desk/g1")[0] == "at-g0-0"
     upstreams.remove("g0-0")
     assert GroupRanks(upstreams, "desk/g1")[0] == "at-g1-0"
 
 
-def test_a_broken_group_gets_nothing_while_the_other_serves() -> None:
+def test_broken_group_gets_no_requests_while_the_other_serves() -> None:
     async def scenario() -> None:
-        desk = _Desk()
-        desk.health.note_refused("desk/g0", desk.now_s)
-        assert not desk.admission.is_broken()
-        assert await desk.take_groups(SIZE * SLOTS) == ["g1"] * (SIZE * SLOTS)
-        desk.health.note_served("desk/g0", desk.now_s + 0.1)
-        assert await desk.take_groups(SIZE * SLOTS) == ["g0"] * (SIZE * SLOTS)
+        fixture = _AdmissionFixture()
+        fixture.health.note_refused("desk/g0", fixture.now_s)
+        assert not fixture.admission.is_broken()
+        assert await fixture.take_groups(SIZE * SLOTS) == ["g1"] * (SIZE * SLOTS)
+        fixture.health.note_served("desk/g0", fixture.now_s + 0.1)
+        assert await fixture.take_groups(SIZE * SLOTS) == ["g0"] * (SIZE * SLOTS)
 
     asyncio.run(scenario())
 
 
-def test_a_broken_group_is_asked_again_by_one_request_after_a_while() -> None:
+def test_broken_group_is_probed_by_one_request_after_a_delay() -> None:
     async def scenario() -> None:
-        desk = _Desk()
-        desk.health.note_refused("desk/g0", desk.now_s)
-        desk.now_s += 5.0
-        assert sorted(await desk.take_groups(4)) == ["g0", "g1", "g1", "g1"]
+        fixture = _AdmissionFixture()
+        fixture.health.note_refused("desk/g0", fixture.now_s)
+        fixture.now_s += 5.0
+        assert sorted(await fixture.take_groups(4)) == ["g0", "g1", "g1", "g1"]
 
     asyncio.run(scenario())
 
 
 def test_a_service_is_broken_once_all_its_groups_are() -> None:
     async def scenario() -> None:
-        desk = _Desk()
+        fixture = _AdmissionFixture()
         for group in GROUPS:
-            desk.health.note_refused(f"desk/{group}", desk.now_s)
-        assert desk.admission.is_broken()
-        probe, refused = await desk.take(), await desk.take()
+            fixture.health.note_refused(f"desk/{group}", fixture.now_s)
+        assert fixture.admission.is_broken()
+        probe, refused = await fixture.take(), await fixture.take()
         assert isinstance(probe, Upstream)
         assert isinstance(refused, NoPlace) and refused.reason == "group_broken"
 
@@ -166,7 +168,7 @@
     assert chosen == {"g1"}
 
 
-def test_every_gateway_finds_one_order_and_duties_spread() -> None:
+def test_gateways_agree_on_the_order_and_duties_are_spread() -> None:
     names = [f"gw-{number}" for number in range(30)]
     firsts = set()
     for group in range(40):
@@ -177,7 +179,7 @@
 
 
 def test_gateways_of_a_groups_hall_try_for_its_duty_first() -> None:
-    """From another hall a planner saw no streams of its group, and sent each map between halls."""
+    """A planner in another hall saw no streams of its group and sent each map between halls."""
 
     async def scenario(bench: GatewayBench) -> None:
         _list_groups(bench)
@@ -210,7 +212,7 @@
             bench.list_server(name, "127.0.0.1:9", group=entry, size=2)
 
 
-def test_one_gateway_plans_both_groups_and_takes_one_duty_over_alone() -> None:
+def test_one_gateway_plans_both_groups_and_takes_over_a_single_duty() -> None:
     async def scenario(bench: GatewayBench) -> None:
         bench.store.put("dalehollow/duties/desk/g0", b"another")
         await bench.until(lambda: bench.gateway._planners.holders.get("desk/g0") == "another")
@@ -228,7 +230,7 @@
     run_bench(scenario)
 
 
-def test_what_is_kept_of_a_plan_is_its_groups() -> None:
+def test_stored_plan_belongs_to_its_group() -> None:
     async def scenario(bench: GatewayBench) -> None:
         service = {"name": "desk", "maxConnections": 9, "engine": _ENGINE}
         await bench.apply(make_config(2, services=[service]))
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Test that shares follow demand and never pass the limit, over cuts, restarts and lost answers."""
+"""Test that shares follow demand and stay within the limit under faults and restarts."""
 
 from __future__ import annotations
 
@@ -42,9 +42,9 @@
 
 
 class SharesNeverPassTheLimit(RuleBasedStateMachine):
-    """Ask with lost answers, cuts and restarts; entries use what they believe they hold."""
+    """Request shares under lost answers and restarts; entries use the last grant they received."""
 
-    forgets_lost_answers = False
+    ignores_lost_answers = False
 
     @initialize()
     def begin(self) -> None:
@@ -53,14 +53,14 @@
         self.demand = dict.fromkeys(ENTRIES, 0.0)
 
     @rule(entry=st.sampled_from(ENTRIES), demand=st.floats(0, 300))
-    def turn_demand(self, entry: str, demand: float) -> None:
+    def change_demand(self, entry: str, demand: float) -> None:
         self.demand[entry] = demand
 
     @rule(entry=st.sampled_from(ENTRIES), is_lost=st.booleans())
     def ask(self, entry: str, is_lost: bool) -> None:
         ask = ShareAsk(entry, self.held[entry], self.demand[entry])
         granted = self.allocator.answer(ask, ENTRIES, 0.0)
-        if self.forgets_lost_answers:
+        if self.ignores_lost_answers:
             self.allocator._holders[entry].held_per_s = granted
         if not is_lost:
             self.held[entry] = granted
@@ -71,7 +71,7 @@
 
     @rule()
     def replace_allocator(self) -> None:
-        """Begin with an allocator that knows nothing, as when the old one is gone."""
+        """Start a new allocator without state, as after the loss of the previous one."""
         self.allocator = Allocator(LIMIT)
 
     @invariant()
@@ -85,26 +85,29 @@
 TestSharesNeverPassTheLimit = SharesNeverPassTheLimit.TestCase
 
 
-@pytest.mark.parametrize(("forgets_lost_answers", "total"), [(False, 100.0), (True, 150.0)])
-def test_lost_answer_of_a_smaller_share(forgets_lost_answers: bool, total: float) -> None:
-    """Lose the word of a smaller share; the seeded fault trusts that it arrived, and overshoots."""
+@pytest.mark.parametrize(("ignores_lost_answers", "total"), [(False, 100.0), (True, 150.0)])
+def test_lost_answer_of_a_smaller_share(ignores_lost_answers: bool, total: float) -> None:
+    """Lose the answer that reduces a share.
+
+    The injected fault assumes that the answer arrived, and the sum of shares exceeds the limit.
+    """
     machine = SharesNeverPassTheLimit()
-    machine.forgets_lost_answers = forgets_lost_answers
+    machine.ignores_lost_answers = ignores_lost_answers
     machine.begin()
     for entry in ENTRIES:
         machine.ask(entry, is_lost=False)
-    machine.turn_demand("e0", 300.0)
+    machine.change_demand("e0", 300.0)
     for entry in (*ENTRIES, *ENTRIES, "e0"):
         machine.ask(entry, is_lost=False)
     assert machine.held["e0"] == pytest.approx(LIMIT)
-    machine.turn_demand("e1", 300.0)
+    machine.change_demand("e1", 300.0)
     machine.ask("e1", is_lost=False)
     machine.ask("e0", is_lost=True)
     machine.ask("e1", is_lost=False)
     assert sum(machine.held.values()) == pytest.approx(total)
 
 
-def test_gone_entry_gives_its_share_back_after_a_while() -> None:
+def test_share_of_a_removed_entry_is_released_after_a_delay() -> None:
     allocator = Allocator(LIMIT)
     for entry in ("a", "b"):
         allocator.answer(ShareAsk(entry, 0.0, 500.0), ("a", "b"), 0.0)
@@ -116,10 +119,10 @@
 
 
 class Fleet:
-    """Hold keepers that ask each other directly, with cuts."""
+    """Connect share keepers by direct calls, some of which can be partitioned."""
 
     def __init__(self, count: int) -> None:
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self.keepers: dict[str, ShareKeeper] = {}
         vms = tuple(Vm(f"e{i}", "live", "cmb-a", f"e{i}") for i in range(count))
         halls = {
@@ -135,8 +138,8 @@
 
     def _make_ask(self, sender: str):  # type: ignore[no-untyped-def]
         def ask(address: str, message: AskShares) -> Result[Shares, str]:
-            if sender in self.cut or address in self.cut:
-                return Err("cut")
+            if sender in self.partitioned or address in self.partitioned:
+                return Err("partitioned")
             return Ok(self.keepers[address].answer(message))
 
         return ask
@@ -164,11 +167,11 @@
     assert fleet.total() <= limit * 1.05
 
 
-def test_cut_off_shares_freeze_and_the_sum_holds() -> None:
+def test_partitioned_entry_keeps_its_share_and_the_sum_holds() -> None:
     fleet = Fleet(8)
     fleet.run(30, {"e0": 50})
     before = held_shares(fleet.keepers["e0"])["colombo-city"]
-    fleet.cut.add("e0")
+    fleet.partitioned.add("e0")
     fleet.run(30, {"e0": 500, "e1": 50})
     assert held_shares(fleet.keepers["e0"])["colombo-city"] <= before + 1e-9
     assert fleet.total() <= 5 * 1.05
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -1,4 +1,4 @@
-"""Bring every fault about at every step of a switch: never two maps in a step, and it runs on."""
+"""Inject every fault at every step of a switch: no step may mix maps, and the group continues."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     FaultAt,
     GroupBench,
     Killed,
-    double,
+    duplicate,
     kill,
     lose,
     lose_answer,
@@ -22,7 +22,7 @@
 from tests.payment_bench import wait_for
 
 PLANNER_STEPS = (SwitchStep.READ, SwitchStep.LOAD, SwitchStep.PROPOSE)
-GATE_STEPS = (SwitchStep.ASK_PEERS, SwitchStep.TELL_ENGINE)
+SIDECAR_STEPS = (SwitchStep.ASK_PEERS, SwitchStep.TELL_ENGINE)
 
 
 @pytest.fixture
@@ -33,36 +33,38 @@
     group_bench.close()
 
 
-def _check_runs_on(bench: GroupBench) -> None:
-    """After the fault: settled on one map, running, and never mixed."""
-    wait_for(bench.is_settled, "the switch is settled")
+def _check_group_continues(bench: GroupBench) -> None:
+    """Check that the switch is decided, all ranks have one map and no step mixed two."""
+    wait_for(bench.is_settled, "the switch is decided")
     bench.wait_steps(120)
     assert len(bench.versions()) == 1
     assert bench.group.mixed_steps() == []
 
 
-def _with_message_fault(bench: GroupBench, step: SwitchStep, bring: Callable[..., object]) -> None:
-    fault = FaultAt(step, bring)  # type: ignore[arg-type]
-    bench.gate_hook = fault
+def _inject_message_fault(
+    bench: GroupBench, step: SwitchStep, inject: Callable[..., object]
+) -> None:
+    fault = FaultAt(step, inject)  # type: ignore[arg-type]
+    bench.sidecar_hook = fault
     bench.run_planner(1, fault)
     if step is not SwitchStep.RUN_ON:
-        wait_for(fault.happened.is_set, f"{step} was reached")
+        wait_for(fault.was_injected.is_set, f"{step} was reached")
 
 
 def lose_message(bench: GroupBench, step: SwitchStep) -> None:
-    _with_message_fault(bench, step, lose)
+    _inject_message_fault(bench, step, lose)
 
 
-def double_message(bench: GroupBench, step: SwitchStep) -> None:
-    _with_message_fault(bench, step, double)
+def duplicate_message(bench: GroupBench, step: SwitchStep) -> None:
+    _inject_message_fault(bench, step, duplicate)
 
 
-def lose_the_answer(bench: GroupBench, step: SwitchStep) -> None:
-    _with_message_fault(bench, step, lose_answer)
+def lose_message_answer(bench: GroupBench, step: SwitchStep) -> None:
+    _inject_message_fault(bench, step, lose_answer)
 
 
 def kill_planner(bench: GroupBench, step: SwitchStep) -> None:
-    """End the planner at its step; its successor plans with a higher fence."""
+    """Kill the planner at its step; its successor plans with a higher fence."""
     fault = FaultAt(step, kill)
     with contextlib.suppress(Killed):
         bench.run_planner(1, fault)
@@ -70,7 +72,7 @@
 
 
 def pause_planner(bench: GroupBench, step: SwitchStep) -> None:
-    """Hold the planner at its step while a successor plans; then let it go on."""
+    """Pause the planner at its step while a successor plans, then resume it."""
     resume = threading.Event()
 
     def hold(call: Callable[[], object]) -> object:
@@ -81,7 +83,7 @@
     paused = threading.Thread(target=bench.run_planner, args=(1, fault))
     paused.start()
     if step in PLANNER_STEPS:
-        wait_for(fault.happened.is_set, f"{step} was reached")
+        wait_for(fault.was_injected.is_set, f"{step} was reached")
     bench.run_planner(2)
     resume.set()
     paused.join(30)
@@ -89,48 +91,48 @@
 
 
 def stall_rank(bench: GroupBench, step: SwitchStep) -> None:
-    """Stall a rank's engine at the step, and let it go on after a while of waiting."""
+    """Stall a rank's engine at the step, and resume it later."""
 
     def stall(call: Callable[[], object]) -> object:
         bench.group.stall(1, True)
         return call()
 
     fault = FaultAt(step, stall)  # type: ignore[arg-type]
-    bench.gate_hook = fault
-    # A planner waits for steps between its readings, so the stall is ended beside it.
+    bench.sidecar_hook = fault
+    # A planner waits for steps between reads, so it runs in a thread while the stall is ended.
     planner = threading.Thread(target=bench.run_planner, args=(1, fault))
     planner.start()
     if step is SwitchStep.RUN_ON:
         planner.join(30)
         bench.group.stall(1, True)
     else:
-        wait_for(fault.happened.is_set, f"{step} was reached")
+        wait_for(fault.was_injected.is_set, f"{step} was reached")
     bench.group.stall(1, False)
     planner.join(30)
     assert not planner.is_alive()
 
 
-def restart_gate(bench: GroupBench, step: SwitchStep) -> None:
+def restart_sidecar(bench: GroupBench, step: SwitchStep) -> None:
     def restart(call: Callable[[], object]) -> object:
         answer = call()
-        bench.restart_gate(1)
+        bench.restart_sidecar(1)
         return answer
 
     fault = FaultAt(step, restart)  # type: ignore[arg-type]
-    bench.gate_hook = fault
+    bench.sidecar_hook = fault
     bench.run_planner(1, fault)
     if step is SwitchStep.RUN_ON:
-        bench.restart_gate(1)
+        bench.restart_sidecar(1)
 
 
 FAULTS: dict[str, Callable[[GroupBench, SwitchStep], None]] = {
     "message_lost": lose_message,
-    "message_doubled": double_message,
-    "answer_lost": lose_the_answer,
+    "message_duplicated": duplicate_message,
+    "answer_lost": lose_message_answer,
     "planner_killed": kill_planner,
     "planner_paused_and_replaced": pause_planner,
     "rank_stalled": stall_rank,
-    "gate_restarted": restart_gate,
+    "sidecar_restarted": restart_sidecar,
 }
 
 
@@ -138,18 +140,18 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_fault_at_step(bench: GroupBench, fault: str, step: SwitchStep) -> None:
     FAULTS[fault](bench, step)
-    _check_runs_on(bench)
+    _check_group_continues(bench)
 
 
-def test_switch_without_faults_comes_into_force_and_waits_for_nothing(bench: GroupBench) -> None:
+def test_switch_without_faults_becomes_active(bench: GroupBench) -> None:
     bench.run_planner(1)
     wait_for(lambda: bench.versions() == {1}, "the new map")
-    _check_runs_on(bench)
+    _check_group_continues(bench)
     used = {digest for step in bench.group.history for digest in step}
     assert len(used) == 2
 
 
-def test_a_rank_that_cannot_be_reached_leaves_the_old_map_running(bench: GroupBench) -> None:
+def test_unreachable_ranks_keep_the_old_map_active(bench: GroupBench) -> None:
     def lose_all(step: SwitchStep, call: object) -> object:
         return lose(call)  # type: ignore[arg-type]
 
@@ -158,8 +160,8 @@
     assert bench.versions() == {0}
 
 
-def test_seeded_fault_a_gate_that_commits_on_its_own_vote() -> None:
-    """Take the others' votes out of one gate, while theirs cannot be told: the judge objects."""
+def test_injected_fault_sidecar_commits_on_its_own_vote() -> None:
+    """Show that the check detects a sidecar that commits without the votes of the other ranks."""
     bench = GroupBench()
     try:
         bench.group.set_demand(make_demand(2))
--- a/tests/test_switch_map.py
+++ b/tests/test_switch_map.py
@@ -1,4 +1,4 @@
-"""Prove that a group switches its map at all ranks in one step, or at none."""
+"""Test that a group switches its map on all ranks in the same step, or on none."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.fake_ranks import FakeGroup, MapsDifferError
 
 RANKS = 4
-WORLDS = 1_500
+RUNS = 1_500
 CURRENT = (tuple((rank,) for rank in range(RANKS)),)
 
 
@@ -23,18 +23,20 @@
 
 
 class _Killed(BaseException):
-    """End a planner at one of its orders."""
+    """Kill a planner at one of its orders."""
 
 
-def _play(seed: int, *, kill_at: int | None = None, tries: int = 4) -> tuple[FakeGroup, str]:
-    """Play a switch, passes and late orders in one random order; a second planner follows."""
+def _run_random_switch(
+    seed: int, *, kill_at: int | None = None, tries: int = 4
+) -> tuple[FakeGroup, str]:
+    """Run a switch with random passes and late orders, followed by further planners."""
     rng = random.Random(seed)
-    weights = {"taken": rng.choice([1, 3, 6]), "lost": 1, "late": 1, "deaf": 1}
+    weights = {"delivered": rng.choice([1, 3, 6]), "lost": 1, "delayed": 1, "reply_lost": 1}
 
-    def fate(name: str, rank: int) -> str:
+    def choose_delivery(name: str, rank: int) -> str:
         return rng.choices(list(weights), list(weights.values()))[0]
 
-    group = FakeGroup(RANKS, fate)
+    group = FakeGroup(RANKS, choose_delivery)
     count = 0
 
     def on_order(name: str, rank: int) -> None:
@@ -44,7 +46,7 @@
             raise _Killed
         while rng.random() < 0.5:
             if rng.random() < 0.5:
-                group.carry_out_late(rng)
+                group.execute_delayed(rng)
             else:
                 group.run_pass()
 
@@ -66,12 +68,12 @@
             for _ in range(rng.randint(0, 3)):
                 group.run_pass()
             reports = {r: await group.read_report(r) for r in range(RANKS)}
-            sure = await settle_switch(group, reports, CURRENT, fence * 1_000_000)  # type: ignore[arg-type]
-            if sure and not any(r.held for r in group.ranks):
+            is_clean = await settle_switch(group, reports, CURRENT, fence * 1_000_000)  # type: ignore[arg-type]
+            if is_clean and not any(r.held for r in group.ranks):
                 break
-        while group.late:
+        while group.delayed:
             group.run_pass()
-            group.carry_out_late(rng)
+            group.execute_delayed(rng)
         return outcome
 
     outcome = asyncio.run(run())
@@ -81,34 +83,34 @@
 
 
 def test_lost_and_late_orders_never_split_the_group() -> None:
-    outcomes = {_play(seed)[1] for seed in range(WORLDS)}
+    outcomes = {_run_random_switch(seed)[1] for seed in range(RUNS)}
     assert {SwitchOutcome.SWITCHED, SwitchOutcome.TOO_LATE} <= outcomes
 
 
-def test_a_planner_that_ends_at_any_order_never_splits_the_group() -> None:
+def test_planner_killed_at_any_order_never_splits_the_group() -> None:
     for kill_at in range(1, 16):
-        for seed in range(WORLDS // 15):
-            _play(seed, kill_at=kill_at)
+        for seed in range(RUNS // 15):
+            _run_random_switch(seed, kill_at=kill_at)
 
 
-def _play_two(seed: int) -> None:
-    """Play a planner that is paused at a random order while its successor settles, then goes on."""
+def _run_paused_planner(seed: int) -> None:
+    """Pause a planner at a random order while its successor cleans up, then resume it."""
     rng = random.Random(seed)
-    weights = {"taken": rng.choice([2, 6]), "lost": 1, "late": 1, "deaf": 1}
+    weights = {"delivered": rng.choice([2, 6]), "lost": 1, "delayed": 1, "reply_lost": 1}
     group = FakeGroup(
         RANKS, lambda name, rank: rng.choices(list(weights), list(weights.values()))[0]
     )
     pause_at, resume_after = rng.randint(1, 14), rng.randint(1, 30)
     resumed = asyncio.Event()
-    given = {"first": 0, "second": 0}
+    order_counts = {"first": 0, "second": 0}
 
     class First:
-        """Pass the first planner's orders on, with one long pause."""
+        """Forward the first planner's orders, with one long pause."""
 
         def __getattr__(self, name: str) -> object:
             async def order(*args: object) -> OrderReply:
-                given["first"] += 1
-                if given["first"] == pause_at:
+                order_counts["first"] += 1
+                if order_counts["first"] == pause_at:
                     await resumed.wait()
                 await asyncio.sleep(0)
                 return await getattr(group, name)(*args)  # type: ignore[no-any-return]
@@ -116,19 +118,19 @@
             return order
 
     class Second:
-        """Pass the second planner's orders on; the first wakes in their midst."""
+        """Forward the second planner's orders, and resume the first planner among them."""
 
         def __getattr__(self, name: str) -> object:
             async def order(*args: object) -> OrderReply:
-                given["second"] += 1
-                if given["second"] >= resume_after:
+                order_counts["second"] += 1
+                if order_counts["second"] >= resume_after:
                     resumed.set()
                 for _ in range(rng.randint(0, 3)):
                     await asyncio.sleep(0)
                 if rng.random() < 0.3:
                     group.run_pass()
                 if rng.random() < 0.2:
-                    group.carry_out_late(rng)
+                    group.execute_delayed(rng)
                 return await getattr(group, name)(*args)  # type: ignore[no-any-return]
 
             return order
@@ -141,65 +143,65 @@
                     break
         proposal = Proposal(version, group.step + rng.randint(1, 5), 1, CURRENT)
         first = asyncio.ensure_future(switch_map(First(), range(RANKS), proposal))  # type: ignore[arg-type]
-        while given["first"] < pause_at and not first.done():
+        while order_counts["first"] < pause_at and not first.done():
             await asyncio.sleep(0)
         reports = {r: await group.read_report(r) for r in range(RANKS)}
         await settle_switch(Second(), reports, CURRENT, 2_000_000)  # type: ignore[arg-type]
         resumed.set()
         await first
-        while group.late:
+        while group.delayed:
             group.run_pass()
-            group.carry_out_late(rng)
+            group.execute_delayed(rng)
         for _ in range(20):
             group.run_pass()
 
     asyncio.run(run())
 
 
-def test_a_paused_planner_that_wakes_beside_its_successor_never_splits_the_group() -> None:
-    for seed in range(WORLDS):
-        _play_two(seed)
+def test_planner_resumed_beside_its_successor_never_splits_the_group() -> None:
+    for seed in range(RUNS):
+        _run_paused_planner(seed)
 
 
-def test_without_a_hold_of_its_own_the_successor_splits_the_group(
+def test_successor_without_its_own_hold_splits_the_group(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    real_hold = switch._hold
+    original_hold = switch._hold
 
-    async def pretend(port, ranks, proposal):  # type: ignore[no-untyped-def]
+    async def skip(port, ranks, proposal):  # type: ignore[no-untyped-def]
         if type(port).__name__ == "Second":
             return [], True, False
-        return await real_hold(port, ranks, proposal)
+        return await original_hold(port, ranks, proposal)
 
-    monkeypatch.setattr(switch, "_hold", pretend)
+    monkeypatch.setattr(switch, "_hold", skip)
     with pytest.raises(MapsDifferError):
-        for seed in range(WORLDS * 4):
-            _play_two(seed)
+        for seed in range(RUNS * 4):
+            _run_paused_planner(seed)
 
 
-def test_without_the_hold_the_group_is_split(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Show that the proof would see a fault: arms alone are taken by some ranks only."""
+def test_switch_without_a_hold_splits_the_group(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Show that the test detects a missing hold: only some ranks execute their arms in time."""
 
-    async def pretend(port, ranks, proposal):  # type: ignore[no-untyped-def]
+    async def skip(port, ranks, proposal):  # type: ignore[no-untyped-def]
         return [], True, False
 
-    monkeypatch.setattr(switch, "_hold", pretend)
+    monkeypatch.setattr(switch, "_hold", skip)
     with pytest.raises(MapsDifferError):
-        for seed in range(WORLDS):
-            _play(seed)
+        for seed in range(RUNS):
+            _run_random_switch(seed)
 
 
-def test_without_taking_back_the_group_is_split(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def pretend(*args: object) -> bool:
+def test_switch_without_disarming_splits_the_group(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def skip(*args: object) -> bool:
         return True
 
-    monkeypatch.setattr(switch, "_disarm_all", pretend)
+    monkeypatch.setattr(switch, "_disarm_all", skip)
     with pytest.raises(MapsDifferError):
-        for seed in range(WORLDS):
-            _play(seed)
+        for seed in range(RUNS):
+            _run_random_switch(seed)
 
 
-def test_in_the_ordinary_course_nothing_waits() -> None:
+def test_switch_without_faults_blocks_no_pass() -> None:
     group = FakeGroup(RANKS)
 
     async def run() -> SwitchOutcome:
@@ -212,7 +214,7 @@
     assert {rank.version for rank in group.ranks} == {5}
 
 
-def test_a_group_of_another_epoch_is_left_alone() -> None:
+def test_group_of_another_epoch_is_not_switched() -> None:
     group = FakeGroup(RANKS)
 
     async def run() -> SwitchOutcome:
