--- a/dalehollow/groups/plan.py
+++ b/dalehollow/groups/plan.py
@@ -32,20 +32,20 @@
 class Policy:
     """Set the trade-off between skew and moves.
 
-    `price_per_move` is the share of a layer's mean load that each moved weight must save.
-    `begin_skew` is the skew above the noise from which a layer is planned, and `begin_moving_skew`
+    `cost_per_move` is the share of a layer's mean load that each moved weight must save.
+    `min_skew` is the skew above the noise from which a layer is planned, and `min_changed_skew`
     the same for a layer whose demand has changed significantly.
     """
 
-    price_per_move: float
-    begin_skew: float
-    begin_moving_skew: float
+    cost_per_move: float
+    min_skew: float
+    min_changed_skew: float
     max_moves: int
 
 
 POLICIES = {
-    "calm": Policy(price_per_move=0.03, begin_skew=0.15, begin_moving_skew=0.15, max_moves=2_000),
-    "skew": Policy(price_per_move=0.0005, begin_skew=0.04, begin_moving_skew=0.0, max_moves=8_000),
+    "calm": Policy(cost_per_move=0.03, min_skew=0.15, min_changed_skew=0.15, max_moves=2_000),
+    "skew": Policy(cost_per_move=0.0005, min_skew=0.04, min_changed_skew=0.0, max_moves=8_000),
 }
 
 
@@ -85,9 +85,9 @@
             break
         sample_size = sum(demand[idx]) if tokens_counted is None else tokens_counted
         noise = _noise_skew(sum(demand[idx]), sample_size, current.ranks)
-        start_skew = policy.begin_skew + NOISE_SIGMAS * noise
+        start_skew = policy.min_skew + NOISE_SIGMAS * noise
         if moving is not None and moving[idx]:
-            start_skew = policy.begin_moving_skew + noise
+            start_skew = policy.min_changed_skew + noise
         layers[idx], moves_used = _improve_layer(
             layers[idx],
             demand[idx],
@@ -105,7 +105,7 @@
 
 def _describe_plan(moves: int, before: float, after: float, policy: Policy) -> str:
     if not moves:
-        return f"skew {before:.3f}: no move saves {policy.price_per_move} of a layer's mean load"
+        return f"skew {before:.3f}: no move saves {policy.cost_per_move} of a layer's mean load"
     return f"{moves} moves reduce the expected skew from {before:.3f} to {after:.3f}"
 
 
@@ -153,7 +153,7 @@
         state.apply(change.moves)
         moves_used += len(change.moves)
         # Several ranks may share the highest load; the gain appears once all of them are relieved.
-        gain = (initial_max - max(state.loads)) / mean - policy.price_per_move * moves_used
+        gain = (initial_max - max(state.loads)) / mean - policy.cost_per_move * moves_used
         if gain > best_gain:
             best_gain, best = gain, (state.as_layer(), moves_used)
         elif gain < best_gain - MAX_GAIN_LOSS:
@@ -182,6 +182,6 @@
     mean = sum(loads) / len(loads)
     moves = count_moves(ExpertMap((layer,)), ExpertMap((fresh,)))
     saved = (max(loads) - max(fresh_loads)) / mean
-    if moves > move_limit or saved <= policy.price_per_move * (moves - best[1]):
+    if moves > move_limit or saved <= policy.cost_per_move * (moves - best[1]):
         return best
     return fresh, moves
--- a/dalehollow/groups/planner.py
+++ b/dalehollow/groups/planner.py
@@ -80,7 +80,7 @@
     _sequence: int = 0
     _last_counts: dict[tuple[int, int], int] = field(default_factory=dict)
 
-    def learn_map(self, expert_map: ExpertMap) -> None:
+    def cache_map(self, expert_map: ExpertMap) -> None:
         """Cache a map under its digest."""
         self.maps[digest_map(expert_map)] = expert_map
 
@@ -113,10 +113,10 @@
     def _read_ranks(self) -> dict[int, RankState] | None:
         states = {}
         for rank in range(self.ranks):
-            read = self.links.read(rank)
-            if not isinstance(read, Ok):
+            reply = self.links.read(rank)
+            if not isinstance(reply, Ok):
                 return None
-            states[rank] = read.ok_value
+            states[rank] = reply.ok_value
         return states
 
     def _current_map(self, states: Mapping[int, RankState]) -> ExpertMap | None:
@@ -128,9 +128,9 @@
             return None
         digest = digests.pop()
         if digest not in self.maps:
-            read = self.links.read_map()
-            if isinstance(read, Ok):
-                self.learn_map(read.ok_value)
+            reply = self.links.read_map()
+            if isinstance(reply, Ok):
+                self.cache_map(reply.ok_value)
         return self.maps.get(digest)
 
     def _add_counts(self, states: Mapping[int, RankState], current: ExpertMap) -> bool:
@@ -183,12 +183,12 @@
         return False
 
     def _propose(self, fence: int, states: Mapping[int, RankState], plan: Plan) -> None:
-        fresh = self._read_ranks() or states
+        latest_states = self._read_ranks() or states
         self._sequence += 1
         proposal = Proposal(
             ProposalId(fence, self._sequence),
-            base_version=fresh[0].ledger.version,
-            switch_step=max(s.ledger.step for s in fresh.values()) + SWITCH_LEAD_STEPS,
+            base_version=latest_states[0].ledger.version,
+            switch_step=max(s.ledger.step for s in latest_states.values()) + SWITCH_LEAD_STEPS,
             map_digest=digest_map(plan.expert_map),
         )
         votes = [self.links.vote(rank, proposal) for rank in range(self.ranks)]
--- a/dalehollow/routing/choice.py
+++ b/dalehollow/routing/choice.py
@@ -24,12 +24,12 @@
 class Candidate:
     """Describe one upstream as known to an entry.
 
-    `sent_since` counts this entry's own requests that the load report does not include yet.
+    `sent_since_report` counts this entry's own requests that the load report does not include yet.
     """
 
     name: str
     report: LoadReport | None
-    sent_since: int
+    sent_since_report: int
     distance_ms: float
     prefill_ms: float = 0.0
 
@@ -38,7 +38,7 @@
     """Return the expected time to first token of a request sent now."""
     report = candidate.report or LoadReport(0, 0, 1, UNKNOWN_SERVICE_MS)
     service_ms = report.service_ms or UNKNOWN_SERVICE_MS
-    backlog = report.running + report.waiting + candidate.sent_since
+    backlog = report.running + report.waiting + candidate.sent_since_report
     queued_ahead = max(0, backlog + 1 - report.slots)
     # A fuller batch is slightly slower even with free slots; this term favours idle upstreams.
     batching_ms = service_ms * min(1.0, backlog / report.slots) * 0.1
