--- a/dalehollow/groups/place.py
+++ b/dalehollow/groups/place.py
@@ -104,10 +104,10 @@
 
     def __init__(self, state: _LayerState) -> None:
         self._state = state
-        self._before = max(state.loads)
+        self._initial_max_load = max(state.loads)
         self._best_gain = 0.0
-        self._since_best = 0
-        self.best = Improved(state.as_layer(), 0, self._before, self._before)
+        self._steps_since_best = 0
+        self.best = Improved(state.as_layer(), 0, self._initial_max_load, self._initial_max_load)
         self.is_finished = False
 
     @property
@@ -117,22 +117,24 @@
 
     def advance(self) -> None:
         """Apply the next change, or finish if none improves the layer."""
-        if self._since_best == _MAX_STEPS_WITHOUT_GAIN or not self._state.apply_best():
+        if self._steps_since_best == _MAX_STEPS_WITHOUT_GAIN or not self._state.apply_best():
             self.is_finished = True
             self._state.release_unused_copies(self.best.layer)
             return
         copies = self._state.copies
-        gain = self._before - self.highest_load - self._state.bounds.price * copies
-        self._since_best += 1
+        gain = self._initial_max_load - self.highest_load - self._state.bounds.price * copies
+        self._steps_since_best += 1
         if gain > self._best_gain:
-            self.best = Improved(self._state.as_layer(), copies, self._before, self.highest_load)
-            self._best_gain, self._since_best = gain, 0
+            self.best = Improved(
+                self._state.as_layer(), copies, self._initial_max_load, self.highest_load
+            )
+            self._best_gain, self._steps_since_best = gain, 0
 
 
 class _LayerState:
     """Hold a layer during the search.
 
-    `copies_left` holds the copies left to each rank and is shared by all layers.
+    `copies_left` holds the remaining number of copies per rank and is shared by all layers.
     """
 
     def __init__(
--- a/dalehollow/groups/switch.py
+++ b/dalehollow/groups/switch.py
@@ -44,16 +44,16 @@
 
 
 async def _send_order(
-    order: Callable[[], Awaitable[OrderReply]], *, past_refusals: bool
+    order: Callable[[], Awaitable[OrderReply]], *, retry_refusals: bool
 ) -> OrderReply:
     """Send an order up to ORDER_ATTEMPTS times.
 
-    Stops when it is accepted or, without `past_refusals`, when it is refused.
+    Stops when it is accepted or, without `retry_refusals`, when it is refused.
     """
     reply = OrderReply.UNANSWERED
     for _ in range(ORDER_ATTEMPTS):
         reply = await order()
-        is_final = reply is OrderReply.REFUSED and not past_refusals
+        is_final = reply is OrderReply.REFUSED and not retry_refusals
         if reply is OrderReply.TAKEN or is_final:
             return reply
         if reply is OrderReply.REFUSED:
@@ -117,13 +117,13 @@
     Returns the ranks that may hold the group, whether it is held, and whether the step has started.
     """
     holders: list[int] = []
-    refused = 0
+    refusals = 0
     for rank in ranks:
         reply = await port.hold(rank, proposal.step, proposal.epoch)
         if reply is OrderReply.REFUSED:
             # The step has started, unless only this rank refuses because another planner holds it.
-            refused += 1
-            if refused == STEP_STARTED_REFUSALS:
+            refusals += 1
+            if refusals == STEP_STARTED_REFUSALS:
                 return holders, False, True
             continue
         holders.append(rank)
@@ -135,7 +135,7 @@
 async def _arm(port: RankPort, rank: int, proposal: Proposal) -> OrderReply:
     return await _send_order(
         lambda: port.arm(rank, proposal.version, proposal.step, proposal.epoch),
-        past_refusals=True,
+        retry_refusals=True,
     )
 
 
@@ -157,11 +157,11 @@
     """
     for _ in range(ORDER_ATTEMPTS):
         await _send_order(
-            lambda: port.disarm(rank, proposal.version, proposal.epoch), past_refusals=False
+            lambda: port.disarm(rank, proposal.version, proposal.epoch), retry_refusals=False
         )
         reply = await _send_order(
             lambda: port.prepare(rank, newer_version, proposal.current, proposal.epoch),
-            past_refusals=False,
+            retry_refusals=False,
         )
         if reply is OrderReply.TAKEN:
             return True
@@ -174,7 +174,7 @@
         *(
             _send_order(
                 lambda rank=rank: port.release(rank, proposal.step, proposal.epoch),  # type: ignore[misc]
-                past_refusals=False,
+                retry_refusals=False,
             )
             for rank in holders
         )
--- a/dalehollow/limits/shares.py
+++ b/dalehollow/limits/shares.py
@@ -67,28 +67,28 @@
     limit_per_s: float
     _holders: dict[str, _Holder] = field(default_factory=dict)
 
-    def answer(self, ask: ShareAsk, listed: Iterable[str], now_s: float) -> float:
+    def answer(self, request: ShareAsk, listed: Iterable[str], now_s: float) -> float:
         """Return the entry's new grant, which is not raised until all listed entries have asked.
 
         A listed entry that has not asked yet may hold any grant from a previous allocator, so
         nothing can be granted until it reports what it holds.
         """
-        names = set(listed) | {ask.entry}
+        names = set(listed) | {request.entry}
         self._remove_departed(names, now_s)
-        self._record_grant(ask)
+        self._record_grant(request)
         all_reported = names <= set(self._holders)
-        granted = self._compute_grant(ask.entry) if all_reported else ask.held_per_s
+        granted = self._compute_grant(request.entry) if all_reported else request.held_per_s
         # The answer can be lost, so the entry may use the larger of both rates until it asks again.
-        self._holders[ask.entry].held_per_s = max(ask.held_per_s, granted)
+        self._holders[request.entry].held_per_s = max(request.held_per_s, granted)
         return granted
 
     def resize(self, limit_per_s: float) -> None:
         """Change the limit; grants are reduced as their holders ask again."""
         self.limit_per_s = limit_per_s
 
-    def _record_grant(self, ask: ShareAsk) -> None:
+    def _record_grant(self, request: ShareAsk) -> None:
         """Record the grant that an entry reports; a new incarnation reports 0."""
-        self._holders[ask.entry] = _Holder(ask.held_per_s, ask.demand_per_s)
+        self._holders[request.entry] = _Holder(request.held_per_s, request.demand_per_s)
 
     def _compute_grant(self, entry: str) -> float:
         demands = {name: holder.demand_per_s for name, holder in self._holders.items()}
--- a/tests/group_bench.py
+++ b/tests/group_bench.py
@@ -43,11 +43,11 @@
         return Ok(self._group.vote(rank, proposal))
 
     def settle(self, rank: int, proposal: Proposal, outcome: Outcome) -> Result[None, str]:
-        def tell() -> Result[None, str]:
+        def report_outcome() -> Result[None, str]:
             self._group.settle(rank, proposal, outcome)
             return Ok(None)
 
-        return self._hook(SwitchStep.TELL_ENGINE, tell)
+        return self._hook(SwitchStep.TELL_ENGINE, report_outcome)
 
     def read_map(self, rank: int) -> Result[ExpertMap, str]:
         return Ok(self._group.read_map(rank))
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -21,7 +21,7 @@
     def begin(self) -> None:
         self.now_s = 100.0
         self.kv = FakeKeyValue()
-        self.duties = {name: self.make_lease(name) for name in NAMES}
+        self.leases = {name: self.make_lease(name) for name in NAMES}
         self.fence_owners: dict[int, str] = {}
 
     def make_lease(self, name: str) -> Duty:
@@ -34,20 +34,20 @@
     @rule(name=st.sampled_from(NAMES), fault=st.sampled_from(FAULTS))
     def acquire(self, name: str, fault: str) -> None:
         self.kv.fault = fault
-        self.duties[name].advance()
+        self.leases[name].advance()
         self.kv.fault = ""
         self.check_fence_owner(name)
 
     @rule(name=st.sampled_from(NAMES))
     def restart(self, name: str) -> None:
-        self.duties[name] = self.make_lease(name)
+        self.leases[name] = self.make_lease(name)
 
     @rule(name=st.sampled_from(NAMES))
     def release(self, name: str) -> None:
-        self.duties[name].release()
+        self.leases[name].release()
 
     def check_fence_owner(self, name: str) -> None:
-        fence = self.duties[name].fence()
+        fence = self.leases[name].fence()
         if fence is not None:
             assert self.fence_owners.setdefault(fence, name) == name, (
                 "two holders have the same fence"
@@ -67,8 +67,8 @@
 
 def make_pair(margin_ms: int = 1_000) -> tuple[FakeKeyValue, list[float], Duty, Duty]:
     kv, now = FakeKeyValue(), [0.0]
-    duties = [Duty(kv, "k", n, clock=lambda: now[0], margin_ms=margin_ms) for n in "ab"]
-    return kv, now, duties[0], duties[1]
+    leases = [Duty(kv, "k", n, clock=lambda: now[0], margin_ms=margin_ms) for n in "ab"]
+    return kv, now, leases[0], leases[1]
 
 
 def test_takeover_after_lease_expiry_raises_the_fence() -> None:
--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -71,8 +71,8 @@
 
         def history() -> dict[str, Any]:
             answer = client.call("GET", ranks.http, "/history", timeout_s=5).unwrap()
-            told: dict[str, Any] = json.loads(answer.read())
-            return told
+            history_data: dict[str, Any] = json.loads(answer.read())
+            return history_data
 
         def change_demand(seed: int) -> None:
             rng = random.Random(seed)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -57,9 +57,9 @@
         self.demand[entry] = demand
 
     @rule(entry=st.sampled_from(ENTRIES), is_lost=st.booleans())
-    def ask(self, entry: str, is_lost: bool) -> None:
-        ask = ShareAsk(entry, self.held[entry], self.demand[entry])
-        granted = self.allocator.answer(ask, ENTRIES, 0.0)
+    def request(self, entry: str, is_lost: bool) -> None:
+        request = ShareAsk(entry, self.held[entry], self.demand[entry])
+        granted = self.allocator.answer(request, ENTRIES, 0.0)
         if self.ignores_lost_answers:
             self.allocator._holders[entry].held_per_s = granted
         if not is_lost:
@@ -95,15 +95,15 @@
     machine.ignores_lost_answers = ignores_lost_answers
     machine.begin()
     for entry in ENTRIES:
-        machine.ask(entry, is_lost=False)
+        machine.request(entry, is_lost=False)
     machine.change_demand("e0", 300.0)
     for entry in (*ENTRIES, *ENTRIES, "e0"):
-        machine.ask(entry, is_lost=False)
+        machine.request(entry, is_lost=False)
     assert machine.held["e0"] == pytest.approx(LIMIT)
     machine.change_demand("e1", 300.0)
-    machine.ask("e1", is_lost=False)
-    machine.ask("e0", is_lost=True)
-    machine.ask("e1", is_lost=False)
+    machine.request("e1", is_lost=False)
+    machine.request("e0", is_lost=True)
+    machine.request("e1", is_lost=False)
     assert sum(machine.held.values()) == pytest.approx(total)
 
 
@@ -137,12 +137,12 @@
             self.keepers[vm.name] = keeper
 
     def _make_ask(self, sender: str):  # type: ignore[no-untyped-def]
-        def ask(address: str, message: AskShares) -> Result[Shares, str]:
+        def request(address: str, message: AskShares) -> Result[Shares, str]:
             if sender in self.partitioned or address in self.partitioned:
                 return Err("partitioned")
             return Ok(self.keepers[address].answer(message))
 
-        return ask
+        return request
 
     def run(self, rounds: int, demand: dict[str, int]) -> None:
         for _ in range(rounds):
@@ -179,7 +179,7 @@
 
 def test_without_listed_entries_the_limit_is_split_evenly() -> None:
     cfg = check_text(make_text()).unwrap()
-    keeper = ShareKeeper("e0", "cmb-a", lambda address, ask: Err("nobody"))
+    keeper = ShareKeeper("e0", "cmb-a", lambda address, request: Err("nobody"))
     keeper.apply(cfg)
     keeper.take_list(())
     assert held_shares(keeper)["colombo-city"] == pytest.approx(5 / cfg.count_entries())
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -166,14 +166,14 @@
     try:
         bench.group.set_demand(make_demand(2))
         bench.voters[0].ranks = 1
-        asked: list[SwitchStep] = []
+        proposals_sent: list[SwitchStep] = []
 
-        def tell_rank_0_only(step: SwitchStep, call: Callable[[], object]) -> object:
+        def propose_to_rank_0_only(step: SwitchStep, call: Callable[[], object]) -> object:
             if step is SwitchStep.PROPOSE:
-                asked.append(step)
-            return lose(call) if len(asked) > 1 and step is SwitchStep.PROPOSE else call()  # type: ignore[arg-type]
+                proposals_sent.append(step)
+            return lose(call) if len(proposals_sent) > 1 and step is SwitchStep.PROPOSE else call()  # type: ignore[arg-type]
 
-        bench.run_planner(1, tell_rank_0_only)  # type: ignore[arg-type]
+        bench.run_planner(1, propose_to_rank_0_only)  # type: ignore[arg-type]
         wait_for(lambda: bench.group.mixed_steps() != [], "a mixed step")
     finally:
         bench.close()
