--- a/tests/config_text.py
+++ b/tests/config_text.py
@@ -1,4 +1,4 @@
-"""Make operators' files for tests."""
+"""Build configuration files for tests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def make_raw(**changes: Any) -> dict[str, Any]:
-    """Return a sound operators' file as a dictionary, with changes at its top."""
+    """Return a valid configuration as a dictionary, with changes to its top-level fields."""
     raw: dict[str, Any] = {
         "deployment": "kelanisoft",
         "halls": {"cmb-a": {"region": "lk-west"}, "ngb": {"region": "lk-west"}},
@@ -35,5 +35,5 @@
 
 
 def make_text(**changes: Any) -> str:
-    """Return a sound operators' file as text."""
+    """Return a valid configuration file as text."""
     return json.dumps(make_raw(**changes), indent=1)
--- a/tests/fake_keyvalue.py
+++ b/tests/fake_keyvalue.py
@@ -1,4 +1,4 @@
-"""Hold keys in memory and fail on command, through the interface that the system sees."""
+"""In-memory `KeyValue` with fault injection."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class FakeKeyValue:
-    """Fail the next calls by `fault`: `down`, `lose_answer` (done, not told) or `lose_call`."""
+    """Fail calls by `fault`: `down`, `lose_answer` (executed but not confirmed) or `lose_call`."""
 
     items: dict[str, Entry] = field(default_factory=dict)
     fault: str = ""
--- a/tests/test_config_check.py
+++ b/tests/test_config_check.py
@@ -12,7 +12,7 @@
 from tests.config_text import make_raw, make_text
 
 
-def test_sound_file() -> None:
+def test_valid_file() -> None:
     cfg = check_text("// a comment\n" + make_text()).unwrap()
     assert cfg.services["gate"].operations[0].repeatable is False
     assert cfg.upstreams["m-2"].control is None
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("text", ["{", "[]", "5", '{"a": 1, "a": 2}', "", "{" * 3000])
-def test_no_file_at_all(text: str) -> None:
+def test_invalid_text(text: str) -> None:
     assert check_text(text).is_err()
 
 
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -1,4 +1,4 @@
-"""Test that a file is applied whole by one operator at a time, over lost answers and outages."""
+"""Test that configurations are applied atomically, despite races, lost responses and outages."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
         assert applied.manifest.parent == version - 1
 
 
-def test_bad_file_leaves_nothing(platform: Platform) -> None:
+def test_invalid_file_writes_nothing(platform: Platform) -> None:
     standin, kv = platform
     assert apply_text(kv, make_text(deployment="BAD NAME"), apply_id="a").is_err()
     assert read_manifest(kv).unwrap().version == 0
     assert not any(call.startswith("PUT") for call in standin.calls)
 
 
-def test_stale_parent_is_told_the_winner(platform: Platform) -> None:
+def test_stale_parent_is_rejected_with_the_winner(platform: Platform) -> None:
     _, kv = platform
     apply_text(kv, make_text(), apply_id="first").unwrap()
     error = apply_text(kv, make_text(), apply_id="second", parent=0).unwrap_err()
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("operators", [2, 8])
-def test_operators_at_once(platform: Platform, operators: int) -> None:
+def test_concurrent_applies_have_one_winner(platform: Platform, operators: int) -> None:
     _, kv = platform
     barrier = threading.Barrier(operators)
     outcomes: dict[str, object] = {}
@@ -73,18 +73,18 @@
 
 
 @pytest.mark.parametrize("lost_answers", [1, 2, 3])
-def test_lost_answers_are_settled(platform: Platform, lost_answers: int) -> None:
+def test_lost_responses_are_resolved(platform: Platform, lost_answers: int) -> None:
     standin, kv = platform
     standin.set_fault("lose_answer", lost_answers)
     applied = apply_text(kv, make_text(), apply_id="a", parent=None)
     standin.set_fault("none")
     manifest = read_manifest(kv).unwrap()
-    # Whatever the operator is told must be what is in force.
+    # The result reported to the operator must match the active configuration.
     assert applied.is_ok() == (manifest.apply_id == "a")
     assert applied.is_ok()
 
 
-def test_platform_down_is_said_so(platform: Platform) -> None:
+def test_unreachable_platform_is_reported(platform: Platform) -> None:
     standin, kv = platform
     standin.set_fault("down")
     assert isinstance(apply_text(kv, make_text(), apply_id="a").unwrap_err(), PlatformError)
@@ -94,7 +94,7 @@
     return {i: kv.get(part_key(i)).unwrap().value for i in manifest.parts.values()}
 
 
-def test_holder_never_reverts(platform: Platform) -> None:
+def test_holder_rejects_older_versions(platform: Platform) -> None:
     _, kv = platform
     holder = ConfigHolder()
     offers = []
@@ -108,7 +108,7 @@
     assert holder.version == 3
 
 
-def test_holder_refuses_parts_that_are_missing_or_not_the_manifests(platform: Platform) -> None:
+def test_holder_rejects_missing_or_mismatched_parts(platform: Platform) -> None:
     _, kv = platform
     manifest = apply_text(kv, make_text(), apply_id="a").unwrap().manifest
     parts = read_parts(kv, manifest)
@@ -120,7 +120,7 @@
     assert holder.offer(manifest, parts)
 
 
-def test_joined_parts_are_the_checked_file(platform: Platform) -> None:
+def test_joined_parts_equal_the_validated_file(platform: Platform) -> None:
     _, kv = platform
     manifest = apply_text(kv, make_text(), apply_id="a").unwrap().manifest
     holder = ConfigHolder()
@@ -128,7 +128,7 @@
     assert holder.in_force.config == check_text(make_text()).unwrap()
 
 
-def test_small_change_moves_little_and_leaves_nothing_behind(platform: Platform) -> None:
+def test_small_change_writes_one_part_and_deletes_the_replaced_ones(platform: Platform) -> None:
     standin, kv = platform
     raw = make_raw()
     for idx in range(500):
@@ -144,12 +144,12 @@
     assert {k for k in standin.list_keys() if k.startswith("config/part/")} == kept
 
 
-def test_loser_leaves_nothing_behind_and_takes_nothing_of_the_winners(platform: Platform) -> None:
+def test_losing_apply_deletes_only_its_own_parts(platform: Platform) -> None:
     standin, kv = platform
     apply_text(kv, make_text(), apply_id="first").unwrap()
 
     class Racing(HttpKeyValue):
-        """Let another operator apply just before this one's swap of the head."""
+        """Apply another configuration just before the swap of the head."""
 
         def swap(self, key: str, *args: Any, **kwargs: Any) -> Any:
             if key == HEAD_KEY:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Test who may get work: leaving, silent and ejected upstreams, subsets and the VM list."""
+"""Test upstream selection, subsets, heartbeat pacing and the VM list."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
         ([0], [], [], [1, 2, 3, 4]),
         ([], [0], [], [1, 2, 3, 4]),
         ([], [], [0, 1], [2, 3, 4]),
-        ([], [], [0, 1, 2], [0, 1, 2, 3, 4]),  # most are out: not believed
-        ([4], [], [0, 1, 2, 3], [0, 1, 2, 3]),  # leaving is always believed
+        ([], [], [0, 1, 2], [0, 1, 2, 3, 4]),  # ignored, since most are silent
+        ([4], [], [0, 1, 2, 3], [0, 1, 2, 3]),  # leaving is never ignored
         ([0, 1, 2], [3, 4], [], []),
     ],
 )
-def test_who_may_get_work(
+def test_usable_upstreams(
     leaving: list[int], listed: list[int], silent: list[int], expected: list[int]
 ) -> None:
     views = make_views(5)
@@ -72,7 +72,7 @@
     assert not view.is_ejected(1.5)
 
 
-def test_any_answer_ends_silence() -> None:
+def test_a_load_report_ends_silence() -> None:
     view = make_views(1)[0]
     view.note_silence()
     view.take_report(LoadReport(0, 0, 8, 1.0), 0.0)
@@ -99,31 +99,31 @@
     assert min(near) >= 1 and max(near) <= 4 * sum(near) / len(near)
 
 
-def test_small_pool_is_taken_whole() -> None:
+def test_small_pool_is_selected_completely() -> None:
     upstreams = [make_upstream(0), make_upstream(1, "ngb")]
     assert set(choose_subset("e", "cmb-a", upstreams, 8)) == set(upstreams)
 
 
-def test_vm_list_is_followed_and_kept_in_an_outage() -> None:
+def test_vm_list_is_polled_and_kept_during_an_outage() -> None:
     standin = KeyValueStandIn()
     server = HttpServer("127.0.0.1", 0, standin.handle, name="platform")
     server.start()
-    told: list[frozenset[str]] = []
-    heard = threading.Event()
+    received: list[frozenset[str]] = []
+    has_received = threading.Event()
 
-    def hear(vms: tuple[Vm, ...]) -> None:
-        told.append(list_leaving(vms))
-        heard.set()
+    def on_list(vms: tuple[Vm, ...]) -> None:
+        received.append(list_leaving(vms))
+        has_received.set()
 
     standin.vms = [{"name": "u-1", "state": "leaving"}, {"name": "u-2", "state": "live"}]
-    watch = VmWatch(server.address, hear, interval_ms=20)
+    watch = VmWatch(server.address, on_list, interval_ms=20)
     watch.start()
-    assert heard.wait(10)
-    assert told[-1] == {"u-1"}
+    assert has_received.wait(10)
+    assert received[-1] == {"u-1"}
     standin.set_fault("down")
     calls = standin.calls["GET vms"]
-    wait_for(lambda: standin.calls["GET vms"] >= calls + 3, "reads in the outage")
-    assert told[-1] == {"u-1"}
+    wait_for(lambda: standin.calls["GET vms"] >= calls + 3, "polls during the outage")
+    assert received[-1] == {"u-1"}
     watch.stop()
     server.stop()
 
@@ -147,32 +147,32 @@
     return int(json.loads(answer.read())["started"])
 
 
-@pytest.mark.parametrize("who_says_so", ["sidecar", "vm_list"])
-def test_leaving_upstream_gets_no_new_work(who_says_so: str) -> None:
+@pytest.mark.parametrize("source", ["sidecar", "vm_list"])
+def test_leaving_upstream_gets_no_new_requests(source: str) -> None:
     with Launcher() as launcher:
         settings = {"leave_ms": 1_500, "vm_list_interval_ms": 50, "beat_interval_ms": 100}
         hall = start_hall(launcher, engines=2, plain=(), settings=settings)
-        if who_says_so == "sidecar":
-            # The VM list lags: it says nothing yet.
+        if source == "sidecar":
+            # The VM list lags and does not show the upstream as leaving yet.
             hall.sidecars["model-0"].send_signal(signal.SIGTERM)
             assert hall.sidecars["model-0"].popen.poll() is None
         else:
             body = json.dumps([{"name": "model-0", "state": "leaving"}]).encode()
             client = HttpClient(connect_timeout_s=1)
             client.call("PUT", hall.platform.http, "/vms", body=body, timeout_s=5).unwrap().read()
-        last = [-1]
+        started_last = [-1]
 
-        def is_quiet() -> bool:
-            """Return whether 20 requests in a row left the upstream alone."""
+        def is_avoided() -> bool:
+            """Return whether 20 consecutive requests avoided the upstream."""
             before = _started(hall, 0)
             results = [send_request(hall.entries[i % 2], REQUEST) for i in range(20)]
             assert all(r["status"] == 200 for r in results)
-            last[0] = _started(hall, 0)
-            return last[0] == before
+            started_last[0] = _started(hall, 0)
+            return started_last[0] == before
 
-        wait_for(is_quiet, "no new work")
+        wait_for(is_avoided, "no new requests")
         for _ in range(3):
-            assert is_quiet()
+            assert is_avoided()
 
 
 @pytest.mark.parametrize(
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Test that configurations reach every process of cut and healed halls, and never go back."""
+"""Test that configurations reach every process despite partitions and versions never decrease."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
 
 @dataclass
 class Hall:
-    """Hold a hall's processes, its relay to the platform and the relay to its sidecar."""
+    """Hold a hall's processes and the relays to the platform and to its sidecar."""
 
     name: str
-    to_platform: Relay
+    platform_relay: Relay
     sidecar: Sidecar
-    to_control: Relay
+    control_relay: Relay
     entry: EntryProcess
 
 
 @dataclass
 class World:
-    """Hold two halls and every version that each process had, in order."""
+    """Hold two halls and the versions that each process activated, in order."""
 
     platform: KeyValueStandIn = field(default_factory=KeyValueStandIn)
     halls: dict[str, Hall] = field(default_factory=dict)
-    seen: dict[str, list[int]] = field(default_factory=dict)
+    versions_seen: dict[str, list[int]] = field(default_factory=dict)
     extra: list[Sidecar] = field(default_factory=list)
 
     def start(self) -> None:
@@ -94,7 +94,7 @@
         return sidecar
 
     def _follow(self, name: str, process: EntryProcess | Sidecar) -> None:
-        versions = self.seen.setdefault(name, [])
+        versions = self.versions_seen.setdefault(name, [])
         process.holder.on_change(lambda in_force: versions.append(in_force.manifest.version))
 
     def apply(self, deployment: str) -> int:
@@ -106,7 +106,7 @@
                 f"up-{name}": {
                     "hall": name,
                     "http": hall.sidecar.server.address,
-                    "control": hall.to_control.address,
+                    "control": hall.control_relay.address,
                 }
                 for name, hall in self.halls.items()
             },
@@ -129,23 +129,23 @@
 
     def cut(self, hall: str, *, platform: bool, other_hall: bool) -> None:
         if platform:
-            self.halls[hall].to_platform.set_mode("refuse")
+            self.halls[hall].platform_relay.set_mode("refuse")
         if other_hall:
             for each in self.halls.values():
-                each.to_control.set_mode("refuse")
+                each.control_relay.set_mode("refuse")
 
     def heal(self) -> None:
         for hall in self.halls.values():
-            hall.to_platform.release()
-            hall.to_control.release()
+            hall.platform_relay.release()
+            hall.control_relay.release()
 
     def stop(self) -> None:
         self.heal()
         for hall in self.halls.values():
             hall.entry.stop()
             hall.sidecar.stop()
-            hall.to_platform.close()
-            hall.to_control.close()
+            hall.platform_relay.close()
+            hall.control_relay.close()
         for sidecar in self.extra:
             sidecar.stop()
         self.server.stop()
@@ -153,21 +153,23 @@
 
 @pytest.fixture
 def world() -> Iterator[World]:
-    made = World()
-    made.start()
-    yield made
-    made.stop()
-    for name, versions in made.seen.items():
-        assert versions == sorted(set(versions)), f"{name} went back: {versions}"
+    created = World()
+    created.start()
+    yield created
+    created.stop()
+    for name, versions in created.versions_seen.items():
+        assert versions == sorted(set(versions)), (
+            f"{name} activated versions out of order: {versions}"
+        )
 
 
-def test_everywhere(world: World) -> None:
+def test_every_version_reaches_all_processes(world: World) -> None:
     for version in (1, 2, 3):
         assert world.apply(f"v{version}") == version
         world.wait_for_version(version, *HALLS)
 
 
-def test_hall_cut_from_the_platform_hears_from_the_other_hall(world: World) -> None:
+def test_hall_without_platform_access_is_updated_by_the_other_hall(world: World) -> None:
     world.apply("v1")
     world.wait_for_version(1, *HALLS)
     world.cut("ngb", platform=True, other_hall=False)
@@ -175,37 +177,39 @@
     world.wait_for_version(2, *HALLS)
 
 
-def test_hall_cut_from_all_goes_on_and_catches_up(world: World) -> None:
+def test_isolated_hall_keeps_its_version_and_catches_up(world: World) -> None:
     world.apply("v1")
     world.wait_for_version(1, *HALLS)
     world.cut("ngb", platform=True, other_hall=True)
     world.apply("v2")
     world.wait_for_version(2, "cmb-a")
     assert world.halls["ngb"].entry.holder.version == 1
-    newcomer = world.start_sidecar(
+    new_sidecar = world.start_sidecar(
         "up-new", "ngb", None, (world.halls["ngb"].entry.control.address,)
     )
-    world.extra.append(newcomer)
-    wait_for(lambda: newcomer.holder.version == 1, "the newcomer takes what its peers hold")
+    world.extra.append(new_sidecar)
+    wait_for(
+        lambda: new_sidecar.holder.version == 1, "new sidecar fetches version 1 from its peers"
+    )
     world.heal()
     world.wait_for_version(2, "ngb")
-    wait_for(lambda: newcomer.holder.version == 2, "the newcomer catches up")
+    wait_for(lambda: new_sidecar.holder.version == 2, "new sidecar catches up")
 
 
 @pytest.mark.parametrize("mode", ["down", "lose_answer"])
-def test_platform_fault_for_long_reverts_nothing(world: World, mode: str) -> None:
+def test_long_platform_fault_keeps_the_version(world: World, mode: str) -> None:
     world.apply("v1")
     world.wait_for_version(1, *HALLS)
     world.platform.set_fault(mode)
     polls = world.halls["ngb"].entry.spreader.polls
-    wait_for(lambda: world.halls["ngb"].entry.spreader.polls > polls + 2, "polls under the fault")
+    wait_for(lambda: world.halls["ngb"].entry.spreader.polls > polls + 2, "polls during the fault")
     world.wait_for_version(1, *HALLS)
     world.platform.set_fault("none")
     world.apply("v2")
     world.wait_for_version(2, *HALLS)
 
 
-def test_late_and_doubled_word_of_an_old_version_changes_nothing(world: World) -> None:
+def test_late_and_duplicate_reports_of_an_old_version_are_ignored(world: World) -> None:
     world.apply("v1")
     world.wait_for_version(1, *HALLS)
     old = world.halls["ngb"].sidecar.holder.in_force
@@ -219,7 +223,7 @@
     world.wait_for_version(2, *HALLS)
 
 
-def test_word_from_the_future_does_not_hide_a_stale_configuration(world: World) -> None:
+def test_confirmation_in_the_future_is_capped(world: World) -> None:
     world.apply("v1")
     world.wait_for_version(1, *HALLS)
     entry = world.halls["ngb"].entry
@@ -227,7 +231,7 @@
     assert entry.holder.confirmed_at_ms < 2**59
 
 
-def test_operators_race_under_load_and_one_order_is_kept(world: World) -> None:
+def test_versions_stay_ordered_under_concurrent_applies(world: World) -> None:
     threads = [threading.Thread(target=_apply_quietly, args=(world, idx)) for idx in range(8)]
     for thread in threads:
         thread.start()
@@ -256,7 +260,7 @@
         (60_000, 10_000, 9, True),
     ],
 )
-def test_when_to_poll(age_ms: int, since_ms: int, failures: int, due: bool) -> None:
+def test_poll_due(age_ms: int, since_ms: int, failures: int, due: bool) -> None:
     assert is_poll_due(age_ms, since_ms, 1_000, failures) is due
 
 
@@ -265,8 +269,8 @@
     assert min(limits) < 1_100 and max(limits) > 2_900
 
 
-def test_seeded_fault_a_holder_that_takes_any_version(world: World) -> None:
-    """Let a process take whatever it is told: the judge of versions must object."""
+def test_seeded_fault_a_holder_that_accepts_any_version(world: World) -> None:
+    """The version check must detect a holder that accepts an older version."""
     world.apply("v1")
     world.wait_for_version(1, *HALLS)
     old = world.halls["ngb"].sidecar.holder.in_force
@@ -275,14 +279,14 @@
     holder = world.halls["ngb"].sidecar.holder
     holder._in_force = replace(holder.in_force, manifest=replace(old.manifest, version=0))
     assert holder.offer(old.manifest, old.parts)
-    versions = world.seen["sidecar-up-ngb"]
+    versions = world.versions_seen["sidecar-up-ngb"]
     assert versions != sorted(set(versions))
     versions.clear()
 
 
 @dataclass
-class _TiringKeyValue(FakeKeyValue):
-    """Answer a few calls, then none until it has rested."""
+class _LimitedKeyValue(FakeKeyValue):
+    """Answer `left` calls, then fail until `left` is set again."""
 
     left: int = 0
 
@@ -294,13 +298,13 @@
 
 
 def test_parts_that_were_read_are_not_read_again_when_a_later_one_fails() -> None:
-    """Each poll read the same first parts and threw them away: it never came to the last."""
-    kv = _TiringKeyValue(left=1000)
+    """Polls that fail part-way and discard the parts they read never reach the last part."""
+    kv = _LimitedKeyValue(left=1000)
     apply_text(kv, make_text(), apply_id="one").unwrap()
     holder = ConfigHolder()
     spreader = Spreader(1_000, holder, kv)
     for _ in range(20):
-        # The head, its manifest and one part.
+        # Enough for the head, its manifest and one part.
         kv.left = 3
         spreader.poll()
     assert holder.version == 1
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -1,4 +1,4 @@
-"""Follow the store, keep leases and hold duties through its outages."""
+"""Test the store follower, leases and duties, including during store outages."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 
 @dataclass
-class _Heard:
+class _Recorded:
     tables: list[RoutingTable] = field(default_factory=list)
     upstreams: dict[str, ListedUpstream] = field(default_factory=dict)
     members: dict[str, Member] = field(default_factory=dict)
     holders: dict[str, str] = field(default_factory=dict)
-    # With a short bound, so that outages of tests are absences of the store.
+    # Short threshold, so that the brief outages in tests count as store outages.
     contact: StoreContact = field(default_factory=lambda: StoreContact(read_clock, 0.5))
 
     def listener(self) -> Listener:
@@ -59,30 +59,30 @@
 MEMBER = Member("127.0.0.1:1", "h")
 
 
-def _entry(**changes: object) -> bytes:
+def _make_entry(**changes: object) -> bytes:
     entry = {"service": "desk", "address": "127.0.0.1:9", "zone": "h", "slots": 2, "state": "ready"}
     return msgspec.json.encode({**entry, **changes})
 
 
-async def _until(is_so: Callable[[], bool]) -> None:
-    while not is_so():
+async def _wait_until(is_done: Callable[[], bool]) -> None:
+    while not is_done():
         await asyncio.sleep(0.001)
 
 
 def _run(
-    scenario: Callable[[MetadataStandIn, str, _Heard], Awaitable[None]], *, is_first: bool = True
+    scenario: Callable[[MetadataStandIn, str, _Recorded], Awaitable[None]], *, is_first: bool = True
 ) -> None:
     async def run() -> None:
         store = MetadataStandIn()
         address = await listen(store.handle)
-        heard = _Heard()
-        feed = HallFeed("a", read_clock, random.Random(1), lambda changes: None, heard.contact)
+        recorded = _Recorded()
+        feed = HallFeed("a", read_clock, random.Random(1), lambda changes: None, recorded.contact)
         feed.is_first = lambda: is_first  # type: ignore[method-assign]
-        follower = Follower(address, "", heard.listener(), feed)
+        follower = Follower(address, "", recorded.listener(), feed)
         task = asyncio.ensure_future(follower.run())
         try:
             async with asyncio.timeout(TIMEOUT_S):
-                await scenario(store, address, heard)
+                await scenario(store, address, recorded)
         finally:
             task.cancel()
 
@@ -90,47 +90,47 @@
 
 
 @pytest.fixture(autouse=True)
-def _short_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
+def _short_delays(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(follow, "RETRY_PAUSE_S", 0.005)
     monkeypatch.setattr(follow, "WATCH_WAIT_S", 0.05)
     monkeypatch.setattr(follow, "BATCH_PAUSE_S", 0.001)
 
 
-def test_what_was_there_and_what_changes_is_told() -> None:
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
+def test_existing_and_changed_items_are_reported() -> None:
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         store.put("op/config", msgspec.json.encode(make_config(3)))
-        store.put("servers/a", _entry())
-        await _until(lambda: "a" in heard.upstreams)
-        assert heard.tables[-1].version == 3
-        store.put("servers/a", _entry(state="draining"))
-        await _until(lambda: heard.upstreams["a"].is_leaving)
+        store.put("servers/a", _make_entry())
+        await _wait_until(lambda: "a" in recorded.upstreams)
+        assert recorded.tables[-1].version == 3
+        store.put("servers/a", _make_entry(state="draining"))
+        await _wait_until(lambda: recorded.upstreams["a"].is_leaving)
         store.delete("servers/a")
-        await _until(lambda: not heard.upstreams)
+        await _wait_until(lambda: not recorded.upstreams)
 
     _run(scenario)
 
 
 @pytest.mark.parametrize("fault", ["busy", "lost"])
-def test_an_outage_is_lived_through(fault: str) -> None:
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
-        store.put("servers/a", _entry())
-        await _until(lambda: "a" in heard.upstreams)
+def test_follower_recovers_after_an_outage(fault: str) -> None:
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
+        store.put("servers/a", _make_entry())
+        await _wait_until(lambda: "a" in recorded.upstreams)
         store.fault = fault
         calls = len(store.calls)
-        await _until(lambda: len(store.calls) > calls + 3)
-        assert "a" in heard.upstreams
-        store.put("servers/b", _entry())
+        await _wait_until(lambda: len(store.calls) > calls + 3)
+        assert "a" in recorded.upstreams
+        store.put("servers/b", _make_entry())
         store.fault = "none"
-        await _until(lambda: set(heard.upstreams) == {"a", "b"})
+        await _wait_until(lambda: set(recorded.upstreams) == {"a", "b"})
 
     _run(scenario)
 
 
 @pytest.mark.parametrize("is_first", [True, False])
-def test_while_the_store_is_away_the_first_of_a_hall_asks_more_often(
+def test_first_gateway_of_a_hall_retries_more_often(
     monkeypatch: pytest.MonkeyPatch, is_first: bool
 ) -> None:
-    """Every gateway asked five times a second: 3,174 calls a day on the grown site."""
+    """With all gateways retrying five times a second, the enlarged site made 3,174 calls a day."""
     pauses = []
     sleep = asyncio.sleep
 
@@ -138,16 +138,16 @@
         pauses.append(pause_s)
         await sleep(0.001)
 
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
-        store.put("servers/a", _entry())
-        await _until(lambda: "a" in heard.upstreams)
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
+        store.put("servers/a", _make_entry())
+        await _wait_until(lambda: "a" in recorded.upstreams)
         pauses.clear()
         monkeypatch.setattr(follow.asyncio, "sleep", note_pause)
         store.fault = "busy"
         retries = (follow.RETRY_PAUSE_S, follow.OTHERS_RETRY_PAUSE_S)
-        await _until(lambda: sum(pause in retries for pause in pauses) > 3)
+        await _wait_until(lambda: sum(pause in retries for pause in pauses) > 3)
         first, *later = [pause for pause in pauses if pause in retries]
-        # A single failure may be the connection's, so it is tried again soon.
+        # A single failure may be a broken connection, so the first retry is quick.
         assert first == follow.RETRY_PAUSE_S
         assert set(later) == {follow.RETRY_PAUSE_S if is_first else follow.OTHERS_RETRY_PAUSE_S}
         store.fault = "none"
@@ -155,42 +155,42 @@
     _run(scenario, is_first=is_first)
 
 
-def test_no_long_watch_is_sent_into_a_silence(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A long watch sent just before a silent store came back was not heard for its whole length."""
+def test_watches_are_short_while_the_store_is_silent(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A long watch sent just before a silent store recovers would block for its whole length."""
     monkeypatch.setattr(follow, "WATCH_WAIT_S", 0.2)
     monkeypatch.setattr(follow, "ANSWER_WAIT_S", 0.05)
     monkeypatch.setattr(follow, "LATER_ANSWER_WAIT_S", 0.05)
     monkeypatch.setattr(follow, "RECOVERY_WAIT_S", 0.01)
 
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
-        store.put("servers/a", _entry())
-        await _until(lambda: "a" in heard.upstreams)
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
+        store.put("servers/a", _make_entry())
+        await _wait_until(lambda: "a" in recorded.upstreams)
         store.fault = "silent"
-        await _until(lambda: len(store.unheard) >= 3)
+        await _wait_until(lambda: len(store.unheard) >= 3)
         assert all("waitMs=10" in target for target in store.unheard[1:])
-        store.put("servers/b", _entry())
+        store.put("servers/b", _make_entry())
         store.fault = "none"
-        await _until(lambda: "b" in heard.upstreams)
-        await _until(lambda: store.waits_ms[-1] == 200)
+        await _wait_until(lambda: "b" in recorded.upstreams)
+        await _wait_until(lambda: store.waits_ms[-1] == 200)
 
     _run(scenario)
 
 
-def test_wait_and_margin_end_before_a_store_counts_as_stable() -> None:
+def test_watch_and_timeout_stay_below_the_stale_limit() -> None:
     assert follow.WATCH_WAIT_S + follow.ANSWER_WAIT_S < feed_module.STALE_S < 2.75
     assert follow.RECOVERY_WAIT_S + follow.LATER_ANSWER_WAIT_S + follow.RETRY_PAUSE_S < 1.0
 
 
-def test_each_failure_and_its_end_are_told_with_their_age(
+def test_failures_and_recovery_are_logged_with_age(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
-        store.put("servers/a", _entry())
-        await _until(lambda: "a" in heard.upstreams)
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
+        store.put("servers/a", _make_entry())
+        await _wait_until(lambda: "a" in recorded.upstreams)
         store.fault = "lost"
-        await _until(lambda: "failures=2 age_s=" in caplog.text)
+        await _wait_until(lambda: "failures=2 age_s=" in caplog.text)
         store.fault = "none"
-        await _until(lambda: "event=store_regained" in caplog.text)
+        await _wait_until(lambda: "event=store_regained" in caplog.text)
 
     with caplog.at_level("INFO"):
         _run(scenario)
@@ -198,65 +198,65 @@
     assert "after 0 bytes" in caplog.text
 
 
-def test_history_that_is_gone_is_read_anew() -> None:
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
-        store.put("servers/a", _entry())
-        await _until(lambda: "a" in heard.upstreams)
+def test_lost_history_leads_to_a_full_read() -> None:
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
+        store.put("servers/a", _make_entry())
+        await _wait_until(lambda: "a" in recorded.upstreams)
         store.fault = "busy"
         store.delete("servers/a")
-        store.put("servers/b", _entry())
+        store.put("servers/b", _make_entry())
         store.forget_history()
         store.fault = "none"
-        await _until(lambda: set(heard.upstreams) == {"b"})
+        await _wait_until(lambda: set(recorded.upstreams) == {"b"})
 
     _run(scenario)
 
 
-def test_entries_that_lapse_in_an_outage_may_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
-        store.put("servers/a", _entry())
-        store.put("servers/b", _entry())
-        await _until(lambda: len(heard.upstreams) == 2)
+def test_entries_that_expire_in_an_outage_may_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
+        store.put("servers/a", _make_entry())
+        store.put("servers/b", _make_entry())
+        await _wait_until(lambda: len(recorded.upstreams) == 2)
         store.fault = "busy"
-        await _until(lambda: heard.contact.answer_age_s() > 0.5)
+        await _wait_until(lambda: recorded.contact.answer_age_s() > 0.5)
         store.delete("servers/a")
         store.delete("servers/b")
         store.fault = "none"
         calls = len(store.calls)
-        await _until(lambda: len(store.calls) > calls + 1)
-        assert len(heard.upstreams) == 2
-        store.put("servers/a", _entry())
-        await _until(lambda: set(heard.upstreams) == {"a"})
+        await _wait_until(lambda: len(store.calls) > calls + 1)
+        assert len(recorded.upstreams) == 2
+        store.put("servers/a", _make_entry())
+        await _wait_until(lambda: set(recorded.upstreams) == {"a"})
 
     monkeypatch.setattr(contact, "LAPSE_GRACE_S", 0.3)
     _run(scenario)
 
 
-def test_an_item_that_cannot_be_read_changes_nothing() -> None:
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
+def test_invalid_items_are_ignored() -> None:
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         store.put("op/config", msgspec.json.encode(make_config(3)))
-        await _until(lambda: bool(heard.tables))
+        await _wait_until(lambda: bool(recorded.tables))
         store.put("op/config", b"{}")
         store.put("servers/a", b"no json")
-        store.put("servers/b", _entry())
-        await _until(lambda: "b" in heard.upstreams)
-        assert [t.version for t in heard.tables] == [3]
-        assert set(heard.upstreams) == {"b"}
+        store.put("servers/b", _make_entry())
+        await _wait_until(lambda: "b" in recorded.upstreams)
+        assert [t.version for t in recorded.tables] == [3]
+        assert set(recorded.upstreams) == {"b"}
 
     _run(scenario)
 
 
-def test_one_holder_at_a_time_with_a_rising_fence() -> None:
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
+def test_a_duty_has_one_holder_and_a_rising_fence() -> None:
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         first, second = (Session(address, name, MEMBER) for name in ("a", "b"))
         assert await first.take_duty("desk")
         assert not await second.take_duty("desk")
         fence = first.fence("desk")
         assert fence is not None and second.fence("desk") is None
-        await _until(lambda: heard.holders == {"desk": "a"})
+        await _wait_until(lambda: recorded.holders == {"desk": "a"})
         await first.drop_duty("desk", "test")
         assert first.fence("desk") is None
-        await _until(lambda: not heard.holders)
+        await _wait_until(lambda: not recorded.holders)
         assert await second.take_duty("desk")
         later = second.fence("desk")
         assert later is not None and later > fence
@@ -265,8 +265,8 @@
     _run(scenario)
 
 
-def test_a_holder_that_was_paused_knows_that_its_time_is_over() -> None:
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
+def test_a_paused_holder_sees_that_its_lease_expired() -> None:
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         now_s = 100.0
         holder = Session(address, "a", MEMBER, clock=lambda: now_s)
         assert await holder.take_duty("desk")
@@ -277,39 +277,39 @@
     _run(scenario)
 
 
-def test_a_duty_whose_lease_ran_out_is_lost(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_duty_whose_lease_expired_is_lost(monkeypatch: pytest.MonkeyPatch) -> None:
     times = session.LeaseTimes(ttl_s=5.0, renew_s=0.01, margin_s=0.1)
     monkeypatch.setattr(session, "DUTY_TIMES", times)
 
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         holder = Session(address, "a", MEMBER)
         assert await holder.take_duty("desk")
         store.end_all_leases()
-        await _until(lambda: holder.fence("desk") is None)
+        await _wait_until(lambda: holder.fence("desk") is None)
 
     _run(scenario)
 
 
-def test_a_process_is_listed_again_after_its_lease_ran_out(
+def test_a_process_is_listed_again_after_its_lease_expired(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     times = session.LeaseTimes(ttl_s=5.0, renew_s=0.01, margin_s=0.1)
     monkeypatch.setattr(session, "MEMBER_TIMES", times)
 
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         member = Session(address, "a", MEMBER)
         task = asyncio.ensure_future(member.run())
-        await _until(lambda: heard.members == {"a": MEMBER})
+        await _wait_until(lambda: recorded.members == {"a": MEMBER})
         store.end_all_leases()
-        await _until(lambda: not heard.members)
-        await _until(lambda: heard.members == {"a": MEMBER})
+        await _wait_until(lambda: not recorded.members)
+        await _wait_until(lambda: recorded.members == {"a": MEMBER})
         task.cancel()
 
     _run(scenario)
 
 
-def test_a_duty_is_held_through_answers_that_are_slow(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each slow answer delayed the next renewal: the duty lapsed at its holder again and again."""
+def test_a_duty_is_held_despite_slow_responses(monkeypatch: pytest.MonkeyPatch) -> None:
+    """If each slow response delays the next renewal, the duty repeatedly expires at its holder."""
     now_s = 100.0
     valid_at_answers = []
 
@@ -321,7 +321,7 @@
             now_s += 0.3
             valid_at_answers.append(held.is_valid())
             if len(valid_at_answers) == 10:
-                raise LeaseGoneError("enough")
+                raise LeaseGoneError("end of test")
 
         def close(self) -> None:
             pass
@@ -342,45 +342,45 @@
     assert valid_at_answers == [True] * 10
 
 
-def test_what_was_missed_in_an_outage_is_read_as_it_is_now(
+def test_changes_missed_in_an_outage_are_read_as_current_items(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """History would hold every version of it, and grow while it is read."""
+    """The history holds every version of each item and may grow while it is read."""
     monkeypatch.setattr(follow, "HISTORY_MAX_AGE_S", 0.1)
 
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         store.put("op/config", msgspec.json.encode(make_config(1)))
-        store.put("servers/a", _entry())
-        await _until(lambda: "a" in heard.upstreams)
+        store.put("servers/a", _make_entry())
+        await _wait_until(lambda: "a" in recorded.upstreams)
         store.fault = "busy"
-        # A first failure is the end of the watch that was under way.
+        # The first failed call is the watch already in progress.
         calls = len(store.calls)
-        await _until(lambda: len(store.calls) > calls + 1)
+        await _wait_until(lambda: len(store.calls) > calls + 1)
         for version in range(2, 9):
             store.put("op/config", msgspec.json.encode(make_config(version)))
         store.delete("servers/a")
-        store.put("servers/b", _entry())
+        store.put("servers/b", _make_entry())
         await asyncio.sleep(0.1)
         store.fault = "none"
         monkeypatch.setattr(contact, "LAPSE_GRACE_S", 0.0)
-        await _until(lambda: set(heard.upstreams) == {"b"})
-        assert [t.version for t in heard.tables] == [1, 8]
+        await _wait_until(lambda: set(recorded.upstreams) == {"b"})
+        assert [t.version for t in recorded.tables] == [1, 8]
 
     _run(scenario)
 
 
-def test_an_era_that_cannot_be_read_changes_nothing(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_invalid_era_is_ignored(caplog: pytest.LogCaptureFixture) -> None:
     era = StoreEra()
     assert era.take(None) == 0
     assert era.take(b"3") == 3
     for told in (None, b"", b"no number", b"-4", b"3.5", b"9" * 30, b"\xb2", b"99999999999"):
         assert era.take(told) == 3
-    # Each is told once; an empty one is as good as none.
+    # Each invalid era is logged once; an empty one counts as missing.
     assert caplog.text.count("event=store_era_unusable") == 6
 
 
-def test_an_answer_of_an_earlier_era_is_not_used() -> None:
-    """Its revisions would hide those that the restored store gives out again."""
+def test_a_response_of_an_earlier_era_is_rejected() -> None:
+    """Its revisions would mask those that the restored store assigns again."""
     era = StoreEra()
     era.take(b"3")
     with pytest.raises(PlatformError, match="era 2 after 3"):
@@ -388,16 +388,16 @@
     assert era.take(b"3") == 3
 
 
-def test_a_lease_ends_with_the_era_of_the_store() -> None:
-    """Its revision, the fence, may be given out again to another holder."""
+def test_a_lease_expires_when_the_store_is_restored() -> None:
+    """A restored store may assign its revision, the fence, again to another holder."""
 
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         first = Session(address, "a", MEMBER)
         store.take_copy()
         assert await first.take_duty("desk")
         fence = first.fence("desk")
         store.restore()
-        await _until(lambda: first.fence("desk") is None)
+        await _wait_until(lambda: first.fence("desk") is None)
         second = Session(address, "b", MEMBER)
         assert await second.take_duty("desk")
         later = second.fence("desk")
@@ -406,22 +406,22 @@
     _run(scenario)
 
 
-def test_what_a_restored_store_lost_is_gone_and_what_it_gives_out_again_is_taken() -> None:
-    async def scenario(store: MetadataStandIn, address: str, heard: _Heard) -> None:
+def test_items_lost_in_a_restore_are_gone_and_reused_revisions_are_accepted() -> None:
+    async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         store.put("op/config", msgspec.json.encode(make_config(3)))
-        await _until(lambda: bool(heard.tables))
+        await _wait_until(lambda: bool(recorded.tables))
         store.take_copy()
         store.put("op/config", msgspec.json.encode(make_config(4)))
         for number in range(5):
             store.put(f"dalehollow/plans/{number}", b"{}")
-        store.put("servers/lost", _entry())
-        await _until(lambda: "lost" in heard.upstreams)
+        store.put("servers/lost", _make_entry())
+        await _wait_until(lambda: "lost" in recorded.upstreams)
         store.restore()
-        # The counter is below what was seen for all that follows.
+        # All revisions from here on are below those already seen.
         store.put("op/config", msgspec.json.encode(make_config(5)))
-        store.put("servers/new", _entry())
-        await _until(lambda: "new" in heard.upstreams)
-        assert [t.version for t in heard.tables] == [3, 4, 5]
-        await _until(lambda: set(heard.upstreams) == {"new"})
+        store.put("servers/new", _make_entry())
+        await _wait_until(lambda: "new" in recorded.upstreams)
+        assert [t.version for t in recorded.tables] == [3, 4, 5]
+        await _wait_until(lambda: set(recorded.upstreams) == {"new"})
 
     _run(scenario)
