--- a/dalehollow/config/__init__.py
+++ b/dalehollow/config/__init__.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dalehollow.config.check import check_text
-from dalehollow.config.fields import Mistake
+from dalehollow.config.fields import ConfigIssue
 from dalehollow.config.model import (
     PRIORITIES,
     Account,
@@ -21,11 +21,11 @@
     "Account",
     "Applied",
     "Config",
+    "ConfigIssue",
     "Conflict",
     "Group",
     "Hall",
     "Manifest",
-    "Mistake",
     "Operation",
     "Service",
     "Upstream",
--- a/dalehollow/config/fields.py
+++ b/dalehollow/config/fields.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class Mistake:
+class ConfigIssue:
     """Describe one error: its location, the given value and the allowed values."""
 
     line: int
@@ -23,16 +23,16 @@
         return f"line {self.line}: {self.path or 'file'}: {self.message}"
 
 
-class Walker:
+class IssueCollector:
     """Collect errors while values are read."""
 
     def __init__(self, lines: Mapping[str, int]) -> None:
         self._lines = lines
-        self.mistakes: list[Mistake] = []
+        self.issues: list[ConfigIssue] = []
 
     def report(self, path: str, message: str) -> None:
         """Record an error at a path."""
-        self.mistakes.append(Mistake(self._line_of(path), path, message))
+        self.issues.append(ConfigIssue(self._line_of(path), path, message))
 
     def _line_of(self, path: str) -> int:
         while path not in self._lines and path:
@@ -43,19 +43,19 @@
 class Fields:
     """Read the fields of one object and report unknown, missing and invalid ones."""
 
-    def __init__(self, walker: Walker, path: str, raw: Any) -> None:
+    def __init__(self, collector: IssueCollector, path: str, raw: Any) -> None:
         self.path = path
-        self.walker = walker
+        self.collector = collector
         self._raw: dict[str, Any] = raw if isinstance(raw, dict) else {}
         self._seen: set[str] = set()
         if not isinstance(raw, dict):
-            walker.report(path, f"is {raw!r}, must be an object")
+            collector.report(path, f"is {raw!r}, must be an object")
 
     def report(self, name: str, message: str) -> None:
         """Record an error at a field."""
-        self.walker.report(f"{self.path}.{name}" if self.path else name, message)
+        self.collector.report(f"{self.path}.{name}" if self.path else name, message)
 
-    def take(self, name: str, default: Any = REQUIRED) -> Any:
+    def read_raw(self, name: str, default: Any = REQUIRED) -> Any:
         """Return the raw value of a field, or its default."""
         self._seen.add(name)
         if name in self._raw:
@@ -65,41 +65,43 @@
             return None
         return default
 
-    def number(self, name: str, low: float, high: float, default: Any = REQUIRED) -> Any:
+    def read_number(self, name: str, low: float, high: float, default: Any = REQUIRED) -> Any:
         """Return a number within bounds."""
-        value = self.take(name, default)
+        value = self.read_raw(name, default)
         is_number = isinstance(value, int | float) and not isinstance(value, bool)
         if value is not None and not (is_number and low <= value <= high):
             self.report(name, f"is {value!r}, must be a number from {low} to {high}")
             return low
         return low if value is None else value
 
-    def whole(self, name: str, low: int, high: int, default: Any = REQUIRED) -> int:
+    def read_int(self, name: str, low: int, high: int, default: Any = REQUIRED) -> int:
         """Return a whole number within bounds."""
-        value = self.number(name, low, high, default)
+        value = self.read_number(name, low, high, default)
         if isinstance(value, float):
             self.report(name, f"is {value!r}, must be a whole number")
         return int(value)
 
-    def choice(self, name: str, choices: Sequence[str], default: Any = REQUIRED) -> str:
+    def read_choice(self, name: str, choices: Sequence[str], default: Any = REQUIRED) -> str:
         """Return one of the choices."""
-        value = self.take(name, default)
+        value = self.read_raw(name, default)
         if value is not None and value not in choices:
             self.report(name, f"is {value!r}, must be one of {', '.join(choices)}")
             return choices[0]
         return value or choices[0]
 
-    def matching(self, name: str, pattern: re.Pattern[str], meaning: str) -> str:
+    def read_text(self, name: str, pattern: re.Pattern[str], meaning: str) -> str:
         """Return text that matches a pattern; `meaning` describes the pattern in words."""
-        value = self.take(name)
+        value = self.read_raw(name)
         if value is not None and not (isinstance(value, str) and pattern.fullmatch(value)):
             self.report(name, f"is {value!r}, must be {meaning}")
             return ""
         return value or ""
 
-    def names(self, name: str, known: Mapping[str, Any] | None, default: Any = REQUIRED) -> Any:
+    def read_names(
+        self, name: str, known: Mapping[str, Any] | None, default: Any = REQUIRED
+    ) -> Any:
         """Return a list of distinct names, all in `known` if it is given."""
-        value = self.take(name, default)
+        value = self.read_raw(name, default)
         if value is None:
             return ()
         if not isinstance(value, list | tuple) or not all(isinstance(v, str) for v in value):
@@ -112,14 +114,16 @@
             self.report(name, "contains duplicate names")
         return tuple(value)
 
-    def finish(self) -> None:
+    def report_unknown(self) -> None:
         """Report the fields that were not read."""
         for name in self._raw:
             if name not in self._seen:
                 self.report(name, f"is unknown; choices: {', '.join(sorted(self._seen))}")
 
 
-def list_names(known: Mapping[str, Any], most: int = 12) -> str:
+def list_names(known: Mapping[str, Any], limit: int = 12) -> str:
     """Return the first names in sorted order and, if shortened, their number."""
-    names = sorted(known)
-    return ", ".join(names[:most]) + (f" … ({len(names)} in all)" if len(names) > most else "")
+    read_names = sorted(known)
+    return ", ".join(read_names[:limit]) + (
+        f" … ({len(read_names)} in all)" if len(read_names) > limit else ""
+    )
--- a/dalehollow/config/store.py
+++ b/dalehollow/config/store.py
@@ -15,7 +15,7 @@
 from result import Err, Ok, Result
 
 from dalehollow.config.check import check_text
-from dalehollow.config.fields import Mistake
+from dalehollow.config.fields import ConfigIssue
 from dalehollow.config.model import Config, Service
 from dalehollow.config.parts import is_part, make_part_id, name_parts, split_config
 from dalehollow.errors import PlatformError
@@ -83,7 +83,7 @@
     winner: Head
 
 
-ApplyError = tuple[Mistake, ...] | Conflict | PlatformError
+ApplyError = tuple[ConfigIssue, ...] | Conflict | PlatformError
 
 
 def part_key(part_id: str) -> str:
@@ -194,7 +194,7 @@
         kv.delete(part_key(part_id))
 
 
-def member_name(cfg: Config, upstream: str) -> str:
+def owner_name(cfg: Config, upstream: str) -> str:
     """Return the owner identity of an upstream: name@address."""
     return f"{upstream}@{cfg.upstreams[upstream].http}"
 
@@ -236,7 +236,7 @@
 ) -> tuple[Generation, ...]:
     return extend_generations(
         tuple(current.generations.get(service.name, ())),
-        tuple(member_name(cfg, name) for name in service.upstreams),
+        tuple(owner_name(cfg, name) for name in service.upstreams),
         applied_at_ms=now_ms,
         horizon_ms=service.ownership_horizon_ms,
         clock_bound_ms=cfg.clock_bound_ms,
--- a/dalehollow/membership/peers.py
+++ b/dalehollow/membership/peers.py
@@ -11,14 +11,14 @@
 from dalehollow.protocol import Beat, Reply
 from dalehollow.protocol.link import PeerLink
 
-EXCHANGE_BYTES = 275
+HEARTBEAT_EXCHANGE_BYTES = 275
 """Size of a heartbeat and its reply with all headers, per `python -m benchmarks slopes`."""
 _MS_PER_S = 1000
 
 
-def pace_beats_ms(peers: int, wanted_ms: int, bytes_per_s: int) -> int:
+def compute_heartbeat_interval_ms(peers: int, wanted_ms: int, bytes_per_s: int) -> int:
     """Return the heartbeat interval that keeps all peers within a bandwidth budget."""
-    return max(wanted_ms, round(peers * EXCHANGE_BYTES / bytes_per_s * _MS_PER_S))
+    return max(wanted_ms, round(peers * HEARTBEAT_EXCHANGE_BYTES / bytes_per_s * _MS_PER_S))
 
 
 @dataclass
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        make_beat: Callable[[], Beat],
+        make_heartbeat: Callable[[], Beat],
         on_reply: Callable[[str, Result[Reply, str]], None],
         interval_ms: int,
         bytes_per_s: int,
@@ -42,7 +42,7 @@
 
         Heartbeats are sent every `interval_ms`, or less often if they would exceed `bytes_per_s`.
         """
-        self._make_beat = make_beat
+        self._make_beat = make_heartbeat
         self._on_reply = on_reply
         self._timeout_ms = interval_ms
         self._interval_ms = interval_ms
@@ -57,7 +57,9 @@
                 if wanted.get(name) != task.address:
                     task.stopping.set()
                     del self._tasks[name]
-            self._interval_ms = pace_beats_ms(len(wanted), self._timeout_ms, self._bytes_per_s)
+            self._interval_ms = compute_heartbeat_interval_ms(
+                len(wanted), self._timeout_ms, self._bytes_per_s
+            )
             for name, address in wanted.items():
                 if name not in self._tasks:
                     self._tasks[name] = self._start(name, address)
--- a/dalehollow/membership/subset.py
+++ b/dalehollow/membership/subset.py
@@ -7,7 +7,7 @@
 from dalehollow.config.model import Upstream
 from dalehollow.rendezvous import score
 
-FAR_SHARE = 4
+REMOTE_DIVISOR = 4
 
 
 def choose_subset(
@@ -15,7 +15,7 @@
 ) -> tuple[Upstream, ...]:
     """Select by rendezvous hashing from the entry's hall, plus some of other halls as fallback."""
     ranked = sorted(upstreams, key=lambda u: score(entry, u.name), reverse=True)
-    near = [u for u in ranked if u.hall == hall]
-    far = [u for u in ranked if u.hall != hall]
-    far_count = min(len(far), max(size // FAR_SHARE, size - len(near)))
-    return tuple(near[: size - far_count] + far[:far_count])
+    local = [u for u in ranked if u.hall == hall]
+    remote = [u for u in ranked if u.hall != hall]
+    remote_count = min(len(remote), max(size // REMOTE_DIVISOR, size - len(local)))
+    return tuple(local[: size - remote_count] + remote[:remote_count])
--- a/dalehollow/membership/view.py
+++ b/dalehollow/membership/view.py
@@ -27,12 +27,12 @@
     is_silent: bool = False
     in_flight: int = 0
     incarnation_ms: int = 0
-    _sent_since: int = 0
+    _sent_since_report: int = 0
     _failures: int = 0
     _ejections: int = 0
     _ejected_until_s: float = 0.0
     # By priority: time until which the upstream accepts no request of that priority.
-    _rests_until_s: dict[str, float] = field(default_factory=dict)
+    _refused_until_s: dict[str, float] = field(default_factory=dict)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def take_report(self, report: LoadReport, now_s: float) -> None:
@@ -41,7 +41,7 @@
             self.is_silent = False
             self.report = report
             self.reported_at_s = now_s
-            self._sent_since = 0
+            self._sent_since_report = 0
 
     def note_silence(self) -> None:
         """Mark the upstream silent after a heartbeat timeout, until its next load report."""
@@ -53,31 +53,31 @@
             self.is_leaving = is_leaving
             if incarnation_ms != self.incarnation_ms:
                 self.incarnation_ms = incarnation_ms
-                self._rests_until_s.clear()
+                self._refused_until_s.clear()
                 self._clear_failures()
 
     def note_rest(self, priority: str, until_s: float) -> None:
         """Record that requests of this or a lower priority are refused until a time."""
         with self._lock:
             for lower in PRIORITIES[PRIORITIES.index(priority) :]:
-                self._rests_until_s[lower] = max(until_s, self._rests_until_s.get(lower, 0.0))
+                self._refused_until_s[lower] = max(until_s, self._refused_until_s.get(lower, 0.0))
 
     def rest_left_s(self, priority: str, now_s: float) -> float:
         """Return how long requests of a priority are still refused, 0 if they are accepted."""
         with self._lock:
-            return max(0.0, self._rests_until_s.get(priority, 0.0) - now_s)
+            return max(0.0, self._refused_until_s.get(priority, 0.0) - now_s)
 
     def note_sent(self) -> None:
         """Count a request that was sent."""
         with self._lock:
             self.in_flight += 1
-            self._sent_since += 1
+            self._sent_since_report += 1
 
     def note_done(self) -> None:
         """Count a request that has finished."""
         with self._lock:
             self.in_flight -= 1
-            self._sent_since = max(0, self._sent_since - 1)
+            self._sent_since_report = max(0, self._sent_since_report - 1)
 
     def note_success(self) -> None:
         """Reset the failure count and any ejection."""
@@ -101,7 +101,9 @@
     def as_candidate(self) -> Candidate:
         """Return the upstream as a candidate for request routing."""
         with self._lock:
-            return Candidate(self.upstream.name, self.report, self._sent_since, self.distance_ms)
+            return Candidate(
+                self.upstream.name, self.report, self._sent_since_report, self.distance_ms
+            )
 
     def _clear_failures(self) -> None:
         self._failures = 0
--- a/dalehollow/platform/follow.py
+++ b/dalehollow/platform/follow.py
@@ -19,9 +19,9 @@
 """A response that has not begun this long after it is due counts as lost: seventy times the usual
 response time of the store. Together with the length of a watch this stays below `feed.STALE_S`, so
 a relay confirms its state before other gateways stop relying on it."""
-LATER_ANSWER_WAIT_S = 0.6
+RETRY_ANSWER_WAIT_S = 0.6
 """Response timeout after a failure: longer, so that a slow store still gets through."""
-PASSIVE_INTERVAL_S = 0.1
+PASSIVE_CHECK_INTERVAL_S = 0.1
 """Interval at which a gateway checks whether its hall's relay can still be heard."""
 RECOVERY_WAIT_S = 0.1
 """Length of watches after a failure or a passive period, until one is answered: a long watch sent
@@ -32,7 +32,7 @@
 OTHERS_RETRY_PAUSE_S = 0.8
 """Retry delay of the other gateways after repeated failures. They learn from the first gateway
 that the store is back, and still try themselves in case the store rejects only the first one."""
-BATCH_PAUSE_S = 0.2
+BATCH_WINDOW_S = 0.2
 """Changes come in bursts (servers starting, ranks opening): those within this window are fetched by
 one call. It is also the longest added delay, a tenth of the time allowed for a configuration."""
 HISTORY_MAX_AGE_S = 0.7
@@ -83,7 +83,7 @@
         while True:
             if self._feed.is_passive():
                 self._disconnect()
-                await asyncio.sleep(PASSIVE_INTERVAL_S)
+                await asyncio.sleep(PASSIVE_CHECK_INTERVAL_S)
                 continue
             try:
                 if self._should_watch():
@@ -109,7 +109,7 @@
         return RETRY_PAUSE_S if is_first or self._failures == 1 else OTHERS_RETRY_PAUSE_S
 
     def _answer_wait_s(self) -> float:
-        return LATER_ANSWER_WAIT_S if self._failures else ANSWER_WAIT_S
+        return RETRY_ANSWER_WAIT_S if self._failures else ANSWER_WAIT_S
 
     def _should_watch(self) -> bool:
         """Return whether the changes since the last read are likely smaller than a full read."""
@@ -142,7 +142,7 @@
         self._items.take_changes(self._feed.select_fresh(result.changes))
         self._feed.note_read(after, result.changes, result.revision)
         if result.changes:
-            await asyncio.sleep(BATCH_PAUSE_S)
+            await asyncio.sleep(BATCH_WINDOW_S)
 
     def _note_reachable(self) -> None:
         if not self._is_reachable:
--- a/dalehollow/platform/items.py
+++ b/dalehollow/platform/items.py
@@ -27,7 +27,7 @@
 from dalehollow.protocol.revisions import read_era, show_revision
 from dalehollow.telemetry.logs import log_event
 
-RESTORED_GRACE_S = 5.0
+RESTORED_ENTRY_GRACE_S = 5.0
 """An entry that was removed and reappears after a store restore is used once it is rewritten or has
 existed for this long. That is four upstream heartbeats, so the entry of an upstream that is gone
 has expired again by then."""
@@ -155,9 +155,9 @@
             return False
         if read_era(gone.revision) == read_era(change.revision):
             return False
-        log_event(_LOG, "upstream_restored", key=change.key, waits_s=RESTORED_GRACE_S)
+        log_event(_LOG, "upstream_restored", key=change.key, waits_s=RESTORED_ENTRY_GRACE_S)
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(RESTORED_GRACE_S, self.take_changes, (change,))
+        timer = loop.call_later(RESTORED_ENTRY_GRACE_S, self.take_changes, (change,))
         self._restored[change.key] = _RestoredEntry(change, timer)
         return True
 
--- a/dalehollow/platform/session.py
+++ b/dalehollow/platform/session.py
@@ -40,7 +40,7 @@
 
 MEMBER_TIMES = LeaseTimes(ttl_s=12.0, renew_s=4.0, margin_s=0.3)
 """Peers detect a silent gateway by themselves; the list only says where to send reports."""
-MEMBER_RETRY_S = 1.0
+MEMBER_RETRY_DELAY_S = 1.0
 """Retry delay after a failed call while the process is not listed."""
 DUTY_TIMES = LeaseTimes(ttl_s=1.0, renew_s=0.3, margin_s=0.2)
 """1 s is the shortest lease the store grants; a group may stall until its duty is taken over."""
@@ -63,19 +63,19 @@
         """Return whether the lease is certain not to have expired."""
         return bool(self._id) and self.clock() < self._valid_until_s
 
-    async def begin(self, *, replace: bool = False) -> None:
+    async def acquire(self, *, replace: bool = False) -> None:
         """Acquire a lease and create the key; raise ConflictError if the key exists.
 
         With `replace`, an existing key is overwritten.
         """
-        asked_at_s = self.clock()
+        requested_at_s = self.clock()
         lease, ttl_s = await self.store.grant_lease(self.times.ttl_s, CALL_TIMEOUT_S)
         if replace:
             self.revision = await self.store.put(self.key, self.value, CALL_TIMEOUT_S, lease=lease)
         else:
             self.revision = await self.store.create(self.key, self.value, lease, CALL_TIMEOUT_S)
         self._id = lease
-        self._valid_until_s = asked_at_s + ttl_s - self.times.margin_s
+        self._valid_until_s = requested_at_s + ttl_s - self.times.margin_s
 
     async def renew(self) -> None:
         """Renew the lease; raise LeaseGoneError if it has expired or the store was restored.
@@ -83,11 +83,11 @@
         A restored store may have lost the lease and assigned its revision again as the fence of
         another holder, so the lease counts as expired even if the store renewed it.
         """
-        asked_at_s = self.clock()
-        await self.store.keep_lease(self._id, CALL_TIMEOUT_S)
+        requested_at_s = self.clock()
+        await self.store.renew_lease(self._id, CALL_TIMEOUT_S)
         if read_era(self.revision) != self.store.era.newest:
             raise LeaseGoneError(f"{self.key}: store was restored")
-        self._valid_until_s = asked_at_s + self.times.ttl_s - self.times.margin_s
+        self._valid_until_s = requested_at_s + self.times.ttl_s - self.times.margin_s
 
     async def end(self) -> None:
         """Revoke the lease, which deletes the key."""
@@ -95,13 +95,13 @@
         if not lease:
             return
         try:
-            await self.store.end_lease(lease, CALL_TIMEOUT_S)
+            await self.store.revoke_lease(lease, CALL_TIMEOUT_S)
         except (PlatformError, LeaseGoneError) as exc:
             # The lease expires on its own after its time to live.
             log_event(_LOG, "lease_end_unsure", key=self.key, error=exc)
         self.store.close()
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Mark the lease as expired without calling the store."""
         self._id, self._valid_until_s = 0, 0.0
 
@@ -142,18 +142,18 @@
             try:
                 await self._keep_listed()
             except LeaseGoneError:
-                self._unlist("member_lapsed")
+                self._mark_unlisted("member_lapsed")
                 continue
             except PlatformError as exc:
-                pause_s = MEMBER_RETRY_S
+                pause_s = MEMBER_RETRY_DELAY_S
                 if self._is_listed and not self._member.is_valid():
-                    self._unlist("member_unconfirmed", str(exc))
+                    self._mark_unlisted("member_unconfirmed", str(exc))
             await self._pause(pause_s)
 
     def note_unlisted(self) -> None:
         """Register again after the entry vanished, possibly with the lease of a previous run."""
         if self._is_listed:
-            self._unlist("member_removed")
+            self._mark_unlisted("member_removed")
             self._wake.set()
 
     async def _pause(self, pause_s: float) -> None:
@@ -166,7 +166,7 @@
         store = Store(self.address, self.era)
         lease = Lease(store, key, self.name.encode(), DUTY_TIMES, self.clock)
         try:
-            await lease.begin()
+            await lease.acquire()
         except (ConflictError, LeaseGoneError):
             store.close()
             return False
@@ -211,13 +211,13 @@
             await self._member.renew()
             return
         # Names are unique, so an existing entry stems from a previous run of this process.
-        await self._member.begin(replace=True)
+        await self._member.acquire(replace=True)
         self._is_listed = True
         log_event(_LOG, "member_listed", name=self.name)
 
-    def _unlist(self, event: str, error: str = "") -> None:
+    def _mark_unlisted(self, event: str, error: str = "") -> None:
         log_event(_LOG, event, name=self.name, error=error)
-        self._member.forget()
+        self._member.invalidate()
         self._is_listed = False
 
     async def _keep_duty(self, duty: str, lease: Lease) -> None:
@@ -228,7 +228,7 @@
         pause_s = DUTY_TIMES.renew_s
         while True:
             await asyncio.sleep(pause_s)
-            asked_at_s = self.clock()
+            requested_at_s = self.clock()
             try:
                 await lease.renew()
             except LeaseGoneError:
@@ -237,10 +237,10 @@
                 if not lease.is_valid():
                     log_event(_LOG, "duty_unconfirmed", duty=duty, error=exc)
                     break
-            pause_s = max(0.0, asked_at_s + DUTY_TIMES.renew_s - self.clock())
+            pause_s = max(0.0, requested_at_s + DUTY_TIMES.renew_s - self.clock())
         if self._duties.get(duty) is lease:
             del self._duties[duty]
             del self._renewing[duty]
-        lease.forget()
+        lease.invalidate()
         lease.store.close()
         log_event(_LOG, "duty_lost", duty=duty, fence=show_revision(lease.revision))
--- a/dalehollow/platform/store.py
+++ b/dalehollow/platform/store.py
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True)
-class Reading:
+class ReadResult:
     """Hold the changes returned by a read or watch and the revision they are complete up to."""
 
     changes: tuple[Change, ...]
@@ -130,7 +130,7 @@
         # 0 if no response began.
         self.transfer_s = 0.0
 
-    async def read_range(self, prefix: str, timeout_s: float) -> Reading:
+    async def read_range(self, prefix: str, timeout_s: float) -> ReadResult:
         """Return all items under a prefix.
 
         `timeout_s` limits the wait for the start of each response. Raises PlatformError if the
@@ -154,12 +154,12 @@
                 raise PlatformError(message, may_have_written=False)
             changes += (_convert_item(item, era) for item in page.items)
             if not page.has_more or not page.items:
-                return Reading(tuple(changes), join_revision(*first))
+                return ReadResult(tuple(changes), join_revision(*first))
             after = page.items[-1].key
 
     async def watch(
         self, prefix: str, after_revision: int, wait_s: float, timeout_s: float
-    ) -> Reading:
+    ) -> ReadResult:
         """Wait up to `wait_s` for changes under a prefix.
 
         `timeout_s` limits the wait for the start of the response. Raises PlatformError if the
@@ -175,7 +175,7 @@
         self._check_same_era(after_revision)
         era = self.era.newest
         changes = tuple(_convert_item(item, era) for item in events.events)
-        return Reading(changes, join_revision(era, events.revision))
+        return ReadResult(changes, join_revision(era, events.revision))
 
     async def create(self, key: str, value: bytes, lease: int, timeout_s: float) -> int:
         """Create a key and return its revision; raise ConflictError if it exists."""
@@ -212,11 +212,11 @@
         lease = _decode(answer, _Lease)
         return lease.lease, lease.ttl_ms / 1000
 
-    async def keep_lease(self, lease: int, timeout_s: float) -> None:
+    async def renew_lease(self, lease: int, timeout_s: float) -> None:
         """Renew a lease; raise LeaseGoneError if it has expired."""
         await self._call(f"/kv-keep/{lease}", timeout_s, method="POST", body={})
 
-    async def end_lease(self, lease: int, timeout_s: float) -> None:
+    async def revoke_lease(self, lease: int, timeout_s: float) -> None:
         """Revoke a lease and delete the keys attached to it."""
         await self._call(f"/kv-lease-end/{lease}", timeout_s, method="DELETE")
 
--- a/tests/test_config_check.py
+++ b/tests/test_config_check.py
@@ -59,25 +59,25 @@
 
 
 @pytest.mark.parametrize(("path", "value", "message"), MISTAKES)
-def test_mistake(path: str, value: Any, message: str) -> None:
+def test_invalid_value(path: str, value: Any, message: str) -> None:
     raw = make_raw()
     _set(path, value)(raw)
     if value is None:
         del raw[path]
-    mistakes = check_text(json.dumps(raw, indent=1)).unwrap_err()
-    assert any(message in str(mistake) for mistake in mistakes), mistakes
+    issues = check_text(json.dumps(raw, indent=1)).unwrap_err()
+    assert any(message in str(issue) for issue in issues), issues
 
 
-def test_all_mistakes_at_once_each_with_its_line() -> None:
+def test_all_issues_are_reported_with_their_lines() -> None:
     raw = make_raw()
     raw["upstreams"]["m-1"]["slots"] = 0
     raw["groups"]["wide"]["policy"] = "wild"
     text = "/* two\nlines */\n" + json.dumps(raw, indent=1)
-    mistakes = check_text(text).unwrap_err()
+    issues = check_text(text).unwrap_err()
     lines = text.splitlines()
-    assert [m.path for m in mistakes] == ["upstreams.m-1.slots", "groups.wide.policy"]
-    assert '"slots": 0' in lines[mistakes[0].line - 1]
-    assert '"policy": "wild"' in lines[mistakes[1].line - 1]
+    assert [m.path for m in issues] == ["upstreams.m-1.slots", "groups.wide.policy"]
+    assert '"slots": 0' in lines[issues[0].line - 1]
+    assert '"policy": "wild"' in lines[issues[1].line - 1]
 
 
 @pytest.mark.parametrize("text", ["{", "[]", "5", '{"a": 1, "a": 2}', "", "{" * 3000])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,7 +11,7 @@
 
 from dalehollow.config.model import Upstream
 from dalehollow.membership import UpstreamView, VmWatch, choose_subset
-from dalehollow.membership.peers import pace_beats_ms
+from dalehollow.membership.peers import compute_heartbeat_interval_ms
 from dalehollow.membership.view import EJECT_AFTER_FAILURES, select_usable
 from dalehollow.membership.vm_watch import list_entries, list_leaving
 from dalehollow.platform.keyvalue import HttpKeyValue
@@ -95,8 +95,8 @@
         assert sum(u.hall == "hall-0" for u in subset) == 6
         assert subset == choose_subset(f"entry-{entry}", "hall-0", upstreams[::-1], 8)
         loads.update(u.name for u in subset)
-    near = [loads[f"u-{idx}"] for idx in range(0, 60, 3)]
-    assert min(near) >= 1 and max(near) <= 4 * sum(near) / len(near)
+    local = [loads[f"u-{idx}"] for idx in range(0, 60, 3)]
+    assert min(local) >= 1 and max(local) <= 4 * sum(local) / len(local)
 
 
 def test_small_pool_is_selected_completely() -> None:
@@ -178,8 +178,8 @@
 @pytest.mark.parametrize(
     ("peers", "interval_ms"), [(1, 500), (4, 500), (20, 1_571), (30, 2_357), (80, 6_286)]
 )
-def test_beats_are_paced_within_the_budget(peers: int, interval_ms: int) -> None:
-    assert pace_beats_ms(peers, 500, 3_500) == interval_ms
+def test_heartbeat_interval_keeps_the_bandwidth_budget(peers: int, interval_ms: int) -> None:
+    assert compute_heartbeat_interval_ms(peers, 500, 3_500) == interval_ms
 
 
 def test_entries_of_the_list() -> None:
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -93,7 +93,7 @@
 def _short_delays(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(follow, "RETRY_PAUSE_S", 0.005)
     monkeypatch.setattr(follow, "WATCH_WAIT_S", 0.05)
-    monkeypatch.setattr(follow, "BATCH_PAUSE_S", 0.001)
+    monkeypatch.setattr(follow, "BATCH_WINDOW_S", 0.001)
 
 
 def test_existing_and_changed_items_are_reported() -> None:
@@ -159,7 +159,7 @@
     """A long watch sent just before a silent store recovers would block for its whole length."""
     monkeypatch.setattr(follow, "WATCH_WAIT_S", 0.2)
     monkeypatch.setattr(follow, "ANSWER_WAIT_S", 0.05)
-    monkeypatch.setattr(follow, "LATER_ANSWER_WAIT_S", 0.05)
+    monkeypatch.setattr(follow, "RETRY_ANSWER_WAIT_S", 0.05)
     monkeypatch.setattr(follow, "RECOVERY_WAIT_S", 0.01)
 
     async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
@@ -178,7 +178,7 @@
 
 def test_watch_and_timeout_stay_below_the_stale_limit() -> None:
     assert follow.WATCH_WAIT_S + follow.ANSWER_WAIT_S < feed_module.STALE_S < 2.75
-    assert follow.RECOVERY_WAIT_S + follow.LATER_ANSWER_WAIT_S + follow.RETRY_PAUSE_S < 1.0
+    assert follow.RECOVERY_WAIT_S + follow.RETRY_ANSWER_WAIT_S + follow.RETRY_PAUSE_S < 1.0
 
 
 def test_failures_and_recovery_are_logged_with_age(
@@ -316,7 +316,7 @@
     class _SlowStore:
         era = StoreEra()
 
-        async def keep_lease(self, lease: int, timeout_s: float) -> None:
+        async def renew_lease(self, lease: int, timeout_s: float) -> None:
             nonlocal now_s
             now_s += 0.3
             valid_at_answers.append(held.is_valid())
@@ -373,8 +373,8 @@
     era = StoreEra()
     assert era.take(None) == 0
     assert era.take(b"3") == 3
-    for told in (None, b"", b"no number", b"-4", b"3.5", b"9" * 30, b"\xb2", b"99999999999"):
-        assert era.take(told) == 3
+    for header in (None, b"", b"no number", b"-4", b"3.5", b"9" * 30, b"\xb2", b"99999999999"):
+        assert era.take(header) == 3
     # Each invalid era is logged once; an empty one counts as missing.
     assert caplog.text.count("event=store_era_unusable") == 6
 
