--- a/dalehollow/gateway/admission.py
+++ b/dalehollow/gateway/admission.py
@@ -3,8 +3,9 @@
 An upstream serves as many concurrent requests as it has slots; the number in flight from all
 gateways is known from their reports. When no slot is free, a request waits briefly in a queue that
 favors urgent requests and client retries, and is then refused with a `Retry-After` that estimates
-when a slot becomes free. The longest wait is the route's latency objective less the recent answer
-latency of the upstreams; a request whose expected wait exceeds it is refused immediately.
+when a slot becomes free. Apart from client retries, the longest wait is the route's latency
+objective less the recent answer latency of the upstreams. A request whose expected wait exceeds the
+longest wait is refused immediately.
 """
 
 from __future__ import annotations
@@ -27,9 +28,9 @@
 CLIENT_RETRY_TIME_LEFT_SHARE = 0.96
 """A request is taken for a client retry if its remaining time is less than this share of the
 longest remaining time seen on its route."""
-PRIORITY_HEAD_START_S = 0.025
-"""Head start in the queue for each priority level. Ordering by arrival time minus head start puts
-urgent requests first without starving the others under steady overload."""
+PRIORITY_OFFSET_S = 0.025
+"""Offset added to the arrival time for each priority level when the queue is ordered. Urgent
+requests go first, but others do not starve under steady overload."""
 CLIENT_RETRY_HEAD_START_S = 0.5
 RETRY_AFTER_MIN_S = 0.25
 RETRY_AFTER_MAX_S = 5.0
@@ -182,13 +183,13 @@
         return self.upstreams.list_candidates(self.service, tried, self.clock(), excluded_groups)
 
     def _refuse_without_candidates(self, turn: Turn) -> NoPlace:
-        is_resting = self.upstreams.rest_left_s(self.service, self.clock()) > 0
-        return NoPlace("all_resting" if is_resting else "all_tried", self._retry_after_s(turn))
+        is_in_backoff = self.upstreams.rest_left_s(self.service, self.clock()) > 0
+        return NoPlace("all_resting" if is_in_backoff else "all_tried", self._retry_after_s(turn))
 
     async def _wait(
         self, turn: Turn, tried: Collection[str], is_client_retry: bool, max_wait_s: float
     ) -> Upstream | NoPlace:
-        effective_arrival_s = self.clock() + turn.priority * PRIORITY_HEAD_START_S
+        effective_arrival_s = self.clock() + turn.priority * PRIORITY_OFFSET_S
         if is_client_retry:
             effective_arrival_s -= CLIENT_RETRY_HEAD_START_S
         waiter = _Waiter(
@@ -254,9 +255,9 @@
 
     def _note_time_left(self, turn: Turn) -> bool:
         """Record a caller's remaining time and return whether the request is a client retry."""
-        longest_s = max(turn.caller_time_left_s, self._max_time_left_s.get(turn.route, 0.0))
-        self._max_time_left_s[turn.route] = longest_s
-        return turn.caller_time_left_s < CLIENT_RETRY_TIME_LEFT_SHARE * longest_s
+        max_s = max(turn.caller_time_left_s, self._max_time_left_s.get(turn.route, 0.0))
+        self._max_time_left_s[turn.route] = max_s
+        return turn.caller_time_left_s < CLIENT_RETRY_TIME_LEFT_SHARE * max_s
 
     def _may_probe(self) -> bool:
         now_s = self.clock()
@@ -275,12 +276,12 @@
         callers do not wait that long: an earlier retry is certain to be refused.
         """
         now_s = self.clock()
-        rest_s = self.upstreams.rest_left_s(self.service, now_s)
-        longest_s = max(self._max_retry_after_s(turn), rest_s and rest_s + BACKOFF_SPREAD_S)
+        backoff_s = self.upstreams.rest_left_s(self.service, now_s)
+        max_s = max(self._max_retry_after_s(turn), backoff_s and backoff_s + BACKOFF_SPREAD_S)
         interval_s = self._completion_interval_s / CLIENT_RETRY_SLOT_SHARE
-        self._promised_until_s = max(self._promised_until_s, now_s + rest_s) + interval_s
+        self._promised_until_s = max(self._promised_until_s, now_s + backoff_s) + interval_s
         wait_s = RETRY_AFTER_MIN_S + self._promised_until_s - now_s
-        if wait_s <= longest_s:
+        if wait_s <= max_s:
             return wait_s
-        self._promised_until_s = now_s + longest_s
-        return self.rng.uniform(max(rest_s, min(RETRY_AFTER_MIN_S, longest_s)), longest_s)
+        self._promised_until_s = now_s + max_s
+        return self.rng.uniform(max(backoff_s, min(RETRY_AFTER_MIN_S, max_s)), max_s)
--- a/tests/limit_world.py
+++ b/tests/limit_world.py
@@ -1,7 +1,7 @@
-"""Run the admission of many gateways before limited upstreams, on virtual time.
+"""Simulate many gateways with rate-limited upstreams in virtual time.
 
-What is real: `GatewayState` with its admission, `PeerReports`, `LimitTokens`, `Members`. What
-stands in: sockets, callers, and upstreams that answer after a moment and name their limit.
+`GatewayState` with its admission control, `PeerReports`, `LimitTokens` and `Members` are the real
+implementations; sockets, callers and upstreams are simulated.
 """
 
 from __future__ import annotations
@@ -25,28 +25,28 @@
 from dalehollow.platform.names import HEADERS
 
 SERVICE = "desk"
-WAY_S = 0.002
-ANSWER_S = 0.02
+TRANSIT_S = 0.002
+ANSWER_TIME_S = 0.02
 SLOTS = 4
 _PORT = 7000
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """Hold a request as it came to an upstream, and since when its gateway knew of the limit."""
+    """Hold the arrival of a request and the time at which its gateway learned of the limit."""
 
     at_s: float
     gateway: str
-    known_at_s: float
+    learned_at_s: float
 
 
 @dataclass
 class Server:
-    """Hold one upstream: its limit, None for none, and what came."""
+    """Simulate an upstream with a rate limit, None for no limit, and record its requests."""
 
     hall: str
     limit_per_s: float | None = None
-    named_at_s: float | None = None
+    limit_sent_at_s: float | None = None
     arrivals: list[Arrival] = field(default_factory=list)
 
 
@@ -56,11 +56,11 @@
     sender: str
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
-        self.world.carry(self.sender, data, address)
+        self.world.deliver(self.sender, data, address)
 
 
 class WorldGateway:
-    """Hold one gateway and its tasks."""
+    """Run one gateway and its tasks."""
 
     def __init__(self, world: LimitWorld, name: str, hall: str, port: int) -> None:
         loop = asyncio.get_running_loop()
@@ -95,8 +95,8 @@
         )
         self.reports.tokens = self.upstreams.tokens = self.tokens
         self.reports._transport = _Socket(world, name)  # type: ignore[assignment]
-        # When it first passed on an answer that named the limit of an upstream.
-        self.known_at_s: dict[str, float] = {}
+        # Time of the first relayed answer with a limit, by upstream.
+        self.learned_at_s: dict[str, float] = {}
         self.refused = self.served = 0
         self.tasks = [
             asyncio.ensure_future(self.reports.run()),
@@ -104,13 +104,13 @@
         ]
 
     async def ask_often(self, rate_per_s: float) -> None:
-        """Have callers come at random times, for ever."""
+        """Send requests at random times; never returns."""
         while True:
             await asyncio.sleep(self.world.rng.expovariate(rate_per_s))
-            self.tasks.append(asyncio.ensure_future(self.ask()))
+            self.tasks.append(asyncio.ensure_future(self.send_request()))
 
-    async def ask(self) -> None:
-        """Carry one request of a caller."""
+    async def send_request(self) -> None:
+        """Process one request of a caller."""
         admission = self.state.admission(SERVICE)
         place = await admission.take(Turn("read", 5, 0.4, 8.0, 8.0), ())
         if isinstance(place, NoPlace):
@@ -119,32 +119,32 @@
         loop = asyncio.get_running_loop()
         incarnation = place.listed.incarnation
         server = self.world.servers[incarnation]
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(TRANSIT_S)
         never_s = float("inf")
-        known_at_s = self.known_at_s.get(incarnation, never_s)
-        server.arrivals.append(Arrival(loop.time(), self.name, known_at_s))
-        await asyncio.sleep(ANSWER_S)
+        learned_at_s = self.learned_at_s.get(incarnation, never_s)
+        server.arrivals.append(Arrival(loop.time(), self.name, learned_at_s))
+        await asyncio.sleep(ANSWER_TIME_S)
         limit_per_s = server.limit_per_s
-        if limit_per_s is not None and server.named_at_s is None:
-            server.named_at_s = loop.time()
-        await asyncio.sleep(WAY_S)
+        if limit_per_s is not None and server.limit_sent_at_s is None:
+            server.limit_sent_at_s = loop.time()
+        await asyncio.sleep(TRANSIT_S)
         if limit_per_s is not None:
-            self.known_at_s.setdefault(incarnation, loop.time())
+            self.learned_at_s.setdefault(incarnation, loop.time())
         self.state.note_signals(place, Signals(limit_per_s=limit_per_s))
         admission.release(place)
         self.served += 1
 
 
 class LimitWorld:
-    """Hold halls of gateways and the upstreams."""
+    """Simulate gateways in several halls and their upstreams."""
 
     def __init__(self, seed: int, halls: Mapping[str, int], servers: Mapping[str, Server]) -> None:
-        """Start gateways: `halls` says how many by hall."""
+        """Start gateways; `halls` gives their number per hall."""
         self.rng = random.Random(seed)
         self.servers = dict(servers)
         self.gateways: dict[str, WorldGateway] = {}
         self.loss = 0.0
-        self.halls_hear_each_other = True
+        self.are_halls_connected = True
         self.datagrams = self.bytes = 0
         for hall, count in halls.items():
             for number in range(count):
@@ -161,29 +161,29 @@
                 )
 
     def ask_often(self, rate_per_s: float, names: Sequence[str] = ()) -> None:
-        """Have callers come at some gateways, or at all."""
+        """Send requests to the given gateways, or to all of them."""
         for name in names or list(self.gateways):
             gateway = self.gateways[name]
             gateway.tasks.append(asyncio.ensure_future(gateway.ask_often(rate_per_s)))
 
-    def carry(self, sender: str, data: bytes, address: tuple[str, int]) -> None:
-        """Carry a datagram from one gateway to another."""
+    def deliver(self, sender: str, data: bytes, address: tuple[str, int]) -> None:
+        """Deliver a datagram from one gateway to another."""
         self.datagrams += 1
         self.bytes += len(data)
         target, source = self.gateways.get(address[0]), self.gateways.get(sender)
         if target is None or source is None or self.rng.random() < self.loss:
             return
-        if target.hall != source.hall and not self.halls_hear_each_other:
+        if target.hall != source.hall and not self.are_halls_connected:
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(WAY_S, target.reports.datagram_received, data, (sender, source.port))
+        loop.call_later(TRANSIT_S, target.reports.datagram_received, data, (sender, source.port))
 
-    def end(self, name: str) -> None:
-        """End a gateway at once."""
+    def stop(self, name: str) -> None:
+        """Stop a gateway without notice."""
         for task in self.gateways.pop(name).tasks:
             task.cancel()
 
     def close(self) -> None:
-        """End all."""
+        """Stop all gateways."""
         for name in list(self.gateways):
-            self.end(name)
+            self.stop(name)
--- a/tests/retry_fleet.py
+++ b/tests/retry_fleet.py
@@ -23,7 +23,7 @@
 DISCOVERY_DELAY_S = 0.3
 """Delay until all gateways have discovered a started gateway."""
 CALLER_TIMEOUT_S = 2.7
-"""Callers abandon a gateway that has not read their request for a third of the usual deadline."""
+"""Callers abandon a gateway that has not read their request within a third of their deadline."""
 DURATION_S = 40.0
 INITIAL_UPTIME_S = 60.0
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -23,7 +23,7 @@
     return Turn("talk", priority, objective_s, time_left_s, time_left_s)
 
 
-class _Desk:
+class _AdmissionBench:
     """Provide one service with upstreams and a manually advanced clock."""
 
     def __init__(self, upstreams: int = 1) -> None:
@@ -47,116 +47,116 @@
         return task
 
 
-def _run(scenario: Callable[[_Desk], Awaitable[None]], upstreams: int = 1) -> None:
+def _run(scenario: Callable[[_AdmissionBench], Awaitable[None]], upstreams: int = 1) -> None:
     async def run() -> None:
         async with asyncio.timeout(10):
-            await scenario(_Desk(upstreams))
+            await scenario(_AdmissionBench(upstreams))
 
     asyncio.run(run())
 
 
-def test_slots_bound_what_is_let_through() -> None:
-    async def scenario(desk: _Desk) -> None:
-        taken = [await desk.take() for _ in range(2 * SLOTS)]
-        loads = [u.in_hand for u in desk.upstreams]
+def test_slots_limit_requests_in_flight() -> None:
+    async def scenario(bench: _AdmissionBench) -> None:
+        taken = [await bench.take() for _ in range(2 * SLOTS)]
+        loads = [u.in_hand for u in bench.upstreams]
         assert loads == [SLOTS, SLOTS]
         assert all(isinstance(u, Upstream) for u in taken)
-        waiting = await desk.wait()
+        waiting = await bench.wait()
         assert not waiting.done()
         waiting.cancel()
 
     _run(scenario, upstreams=2)
 
 
-def test_what_others_have_in_hand_counts() -> None:
-    async def scenario(desk: _Desk) -> None:
-        desk.upstreams.add_others("u0", SLOTS)
-        waiting = await desk.wait()
+def test_requests_of_other_gateways_occupy_slots() -> None:
+    async def scenario(bench: _AdmissionBench) -> None:
+        bench.upstreams.add_others("u0", SLOTS)
+        waiting = await bench.wait()
         assert not waiting.done()
-        desk.upstreams.add_others("u0", -1)
-        desk.admission.grant()
+        bench.upstreams.add_others("u0", -1)
+        bench.admission.grant()
         assert isinstance(await waiting, Upstream)
 
     _run(scenario)
 
 
-def test_a_load_that_nobody_knows_of_counts_for_a_while() -> None:
-    async def scenario(desk: _Desk) -> None:
-        (upstream,) = desk.upstreams
-        upstream.note_reported_load(SLOTS, desk.now_s)
-        assert desk.upstreams.choose("desk", (), desk.now_s) is None
-        desk.now_s += 2.5
-        assert desk.upstreams.choose("desk", (), desk.now_s) is upstream
+def test_a_reported_load_occupies_slots_until_it_expires() -> None:
+    async def scenario(bench: _AdmissionBench) -> None:
+        (upstream,) = bench.upstreams
+        upstream.note_reported_load(SLOTS, bench.now_s)
+        assert bench.upstreams.choose("desk", (), bench.now_s) is None
+        bench.now_s += 2.5
+        assert bench.upstreams.choose("desk", (), bench.now_s) is upstream
 
     _run(scenario)
 
 
-def test_urgent_requests_and_returned_callers_go_first() -> None:
-    async def scenario(desk: _Desk) -> None:
-        places = [await desk.take() for _ in range(SLOTS)]
-        usual = await desk.wait(priority=9)
-        urgent = await desk.wait(priority=0)
-        returned = await desk.wait(priority=9, time_left_s=4.0)
+def test_urgent_requests_and_client_retries_go_first() -> None:
+    async def scenario(bench: _AdmissionBench) -> None:
+        all_acquired = [await bench.take() for _ in range(SLOTS)]
+        ordinary = await bench.wait(priority=9)
+        urgent = await bench.wait(priority=0)
+        returned = await bench.wait(priority=9, time_left_s=4.0)
         order = []
-        for task, name in ((usual, "usual"), (urgent, "urgent"), (returned, "returned")):
+        for task, name in ((ordinary, "ordinary"), (urgent, "urgent"), (returned, "returned")):
             task.add_done_callback(lambda _, name=name: order.append(name))  # type: ignore[misc]
-        place = places[0]
-        assert isinstance(place, Upstream)
+        acquired = all_acquired[0]
+        assert isinstance(acquired, Upstream)
         for _ in range(3):
-            desk.admission.release(place)
+            bench.admission.release(acquired)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-        assert order == ["returned", "urgent", "usual"]
+        assert order == ["returned", "urgent", "ordinary"]
 
     _run(scenario)
 
 
-def test_a_caller_that_leaves_while_it_waits_frees_its_turn() -> None:
-    async def scenario(desk: _Desk) -> None:
-        places = [await desk.take() for _ in range(SLOTS)]
-        waiting = await desk.wait()
+def test_a_caller_that_disconnects_leaves_the_queue() -> None:
+    async def scenario(bench: _AdmissionBench) -> None:
+        all_acquired = [await bench.take() for _ in range(SLOTS)]
+        waiting = await bench.wait()
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        assert desk.admission.waiting == []
-        assert isinstance(places[0], Upstream)
-        desk.admission.release(places[0])
-        assert sum(u.in_hand for u in desk.upstreams) == SLOTS - 1
+        assert bench.admission.waiting == []
+        assert isinstance(all_acquired[0], Upstream)
+        bench.admission.release(all_acquired[0])
+        assert sum(u.in_hand for u in bench.upstreams) == SLOTS - 1
 
     _run(scenario)
 
 
-def test_a_place_that_comes_as_a_caller_leaves_stays_free() -> None:
-    async def scenario(desk: _Desk) -> None:
-        places = [await desk.take() for _ in range(SLOTS)]
-        leaving, staying = await desk.wait(), await desk.wait()
+def test_a_slot_released_while_a_caller_disconnects_is_not_lost() -> None:
+    async def scenario(bench: _AdmissionBench) -> None:
+        all_acquired = [await bench.take() for _ in range(SLOTS)]
+        leaving, staying = await bench.wait(), await bench.wait()
         leaving.cancel()
-        place = places[0]
-        assert isinstance(place, Upstream)
+        acquired = all_acquired[0]
+        assert isinstance(acquired, Upstream)
         # Release the slot before the cancelled task has run.
-        desk.admission.release(place)
+        bench.admission.release(acquired)
         assert isinstance(await staying, Upstream)
         await asyncio.gather(leaving, return_exceptions=True)
-        assert sum(u.in_hand for u in desk.upstreams) == SLOTS
+        assert sum(u.in_hand for u in bench.upstreams) == SLOTS
 
     _run(scenario)
 
 
-def test_a_wait_that_would_be_too_long_is_refused_at_once() -> None:
-    async def scenario(desk: _Desk) -> None:
+def test_a_request_with_too_long_an_expected_wait_is_refused_immediately() -> None:
+    async def scenario(bench: _AdmissionBench) -> None:
         for _ in range(SLOTS):
-            await desk.take()
-        refused = await desk.take(objective_s=0.001)
+            await bench.take()
+        refused = await bench.take(objective_s=0.001)
         assert isinstance(refused, NoPlace)
         assert 0 < refused.retry_after_s <= 8.0 / 3
 
     _run(scenario)
 
 
-def test_times_to_come_back_are_spread() -> None:
-    async def scenario(desk: _Desk) -> None:
+def test_retry_after_times_are_spread() -> None:
+    async def scenario(bench: _AdmissionBench) -> None:
         for _ in range(SLOTS):
-            await desk.take()
-        times = [await desk.take(objective_s=0.001) for _ in range(5)]
+            await bench.take()
+        times = [await bench.take(objective_s=0.001) for _ in range(5)]
         afters = [t.retry_after_s for t in times if isinstance(t, NoPlace)]
         assert len(set(afters)) == 5
 
@@ -164,79 +164,81 @@
 
 
 def test_a_broken_group_is_probed_and_refuses_the_rest() -> None:
-    async def scenario(desk: _Desk) -> None:
-        desk.health.note_refused("desk", desk.now_s)
-        probe, refused = await desk.take(), await desk.take()
+    async def scenario(bench: _AdmissionBench) -> None:
+        bench.health.note_refused("desk", bench.now_s)
+        probe, refused = await bench.take(), await bench.take()
         assert isinstance(probe, Upstream)
         assert isinstance(refused, NoPlace)
         assert refused.reason == "group_broken"
         assert refused.retry_after_s == pytest.approx(
             8.0 * admission_module.RETRY_AFTER_TIME_LEFT_SHARE
         )
-        desk.health.note_served("desk", desk.now_s + 0.1)
-        assert isinstance(await desk.take(), Upstream)
+        bench.health.note_served("desk", bench.now_s + 0.1)
+        assert isinstance(await bench.take(), Upstream)
 
     _run(scenario)
 
 
-def test_a_first_try_waits_as_long_as_it_can_still_be_served_in_time() -> None:
+def test_the_maximum_wait_depends_on_the_answer_latency() -> None:
     """A wait of a fixed share of the objective is too long for slow upstreams, else too short."""
 
-    async def scenario(desk: _Desk) -> None:
+    async def scenario(bench: _AdmissionBench) -> None:
         for _ in range(SLOTS):
-            await desk.take()
+            await bench.take()
         turn = _turn(objective_s=0.02)
-        desk.admission._completion_interval_s = 0.001
-        desk.admission.note_answer_latency(0.03)
-        assert desk.admission._max_wait_s(turn, False) == 0.0
-        refused = await desk.take(objective_s=0.02)
+        bench.admission._completion_interval_s = 0.001
+        bench.admission.note_answer_latency(0.03)
+        assert bench.admission._max_wait_s(turn, False) == 0.0
+        refused = await bench.take(objective_s=0.02)
         assert isinstance(refused, NoPlace) and refused.reason == "no_place_in_time"
         for _ in range(100):
-            desk.admission.note_answer_latency(0.005)
-        assert desk.admission._max_wait_s(turn, False) == pytest.approx(0.015, abs=0.001)
+            bench.admission.note_answer_latency(0.005)
+        assert bench.admission._max_wait_s(turn, False) == pytest.approx(0.015, abs=0.001)
 
     _run(scenario)
 
 
-def test_what_waits_is_refused_once_all_upstreams_rest() -> None:
-    async def scenario(desk: _Desk) -> None:
+def test_waiting_requests_are_refused_once_all_upstreams_are_in_backoff() -> None:
+    async def scenario(bench: _AdmissionBench) -> None:
         for _ in range(2 * SLOTS):
-            await desk.take()
-        waiting = [await desk.wait() for _ in range(3)]
-        first, second = desk.upstreams
-        first.note_rest(3.0, desk.now_s)
-        desk.admission.grant()
-        assert len(desk.admission.waiting) == 3
-        second.note_rest(1.0, desk.now_s)
-        desk.admission.grant()
+            await bench.take()
+        waiting = [await bench.wait() for _ in range(3)]
+        first, second = bench.upstreams
+        first.note_rest(3.0, bench.now_s)
+        bench.admission.grant()
+        assert len(bench.admission.waiting) == 3
+        second.note_rest(1.0, bench.now_s)
+        bench.admission.grant()
         for task in waiting:
             refused = await task
             assert isinstance(refused, NoPlace)
             assert refused.reason == "all_resting"
             # `Retry-After` covers the backoff that ends first and differs between callers.
             assert refused.retry_after_s >= 1.0
-        assert desk.admission.waiting == []
+        assert bench.admission.waiting == []
 
     _run(scenario, upstreams=2)
 
 
-def test_what_has_tried_all_others_is_refused_at_once() -> None:
-    async def scenario(desk: _Desk) -> None:
-        refused = await desk.admission.take(_turn(), ("u0", "u1"))
+def test_a_request_that_has_tried_all_upstreams_is_refused_immediately() -> None:
+    async def scenario(bench: _AdmissionBench) -> None:
+        refused = await bench.admission.take(_turn(), ("u0", "u1"))
         assert isinstance(refused, NoPlace)
         assert refused.reason == "all_tried"
 
     _run(scenario, upstreams=2)
 
 
-def test_a_second_try_that_finds_no_place_holds_nobody_up() -> None:
-    async def scenario(desk: _Desk) -> None:
-        places = [await desk.take() for _ in range(2 * SLOTS)]
-        again = asyncio.ensure_future(desk.admission.take(_turn(priority=0), ("u0",)))
+def test_a_waiting_retry_does_not_block_first_attempts() -> None:
+    async def scenario(bench: _AdmissionBench) -> None:
+        all_acquired = [await bench.take() for _ in range(2 * SLOTS)]
+        again = asyncio.ensure_future(bench.admission.take(_turn(priority=0), ("u0",)))
         await asyncio.sleep(0)
-        first = await desk.wait(priority=9)
-        place = next(p for p in places if isinstance(p, Upstream) and p.listed.incarnation == "u0")
-        desk.admission.release(place)
+        first = await bench.wait(priority=9)
+        acquired = next(
+            p for p in all_acquired if isinstance(p, Upstream) and p.listed.incarnation == "u0"
+        )
+        bench.admission.release(acquired)
         granted = await first
         assert isinstance(granted, Upstream) and granted.listed.incarnation == "u0"
         assert not again.done()
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -30,7 +30,7 @@
     return replace(listed, started_at_ms=listed.started_at_ms + 1)
 
 
-class _Desk:
+class _CrashWatchBench:
     """Provide a `CrashWatch` with a manual clock."""
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
     return Job(request, b"r1", route, "desk", account, 5, 0.0, 9.0, 9.0, 1, 0)
 
 
-def test_a_request_is_known_by_path_account_and_body() -> None:
+def test_a_request_is_identified_by_path_account_and_body() -> None:
     name = make_fingerprint(_make_job(b"/a?x=1", "ana", b"b"))
     assert name == make_fingerprint(_make_job(b"/a?x=2", "ana", b"b"))
     others = [(b"/c", "ana", b"b"), (b"/a", "bo", b"b"), (b"/a", "ana", b""), (b"/aa", "na", b"b")]
@@ -71,22 +71,22 @@
 
 
 def test_a_broken_connection_alone_is_no_crash() -> None:
-    desk = _Desk()
+    bench = _CrashWatchBench()
     for number in range(5):
-        desk.watch.note_broken_attempt(lambda: CRASHING, _upstream(number))
-    assert desk.count(CRASHING) == 0
-    assert desk.refused_s(CRASHING) == 0.0
+        bench.watch.note_broken_attempt(lambda: CRASHING, _upstream(number))
+    assert bench.count(CRASHING) == 0
+    assert bench.refused_s(CRASHING) == 0.0
 
 
 def test_the_end_of_an_upstream_that_leaves_is_no_crash() -> None:
-    desk = _Desk()
+    bench = _CrashWatchBench()
     by_list, by_answer = _upstream(1, is_leaving=True), _upstream(2)
     by_answer.said.is_leaving = True
     for upstream in (by_list, by_answer):
-        desk.watch.note_broken_attempt(lambda: CRASHING, upstream)
-        desk.watch.note_port_closed(upstream.listed)
-        desk.watch.note_started(_restart(upstream))
-    assert desk.count(CRASHING) == 0
+        bench.watch.note_broken_attempt(lambda: CRASHING, upstream)
+        bench.watch.note_port_closed(upstream.listed)
+        bench.watch.note_started(_restart(upstream))
+    assert bench.count(CRASHING) == 0
 
 
 @pytest.mark.parametrize(
@@ -99,98 +99,98 @@
         ({}, 0),
     ],
 )
-def test_a_next_start_at_its_place_tells_of_a_crash(
+def test_a_restart_or_replacement_counts_as_a_crash(
     changes: dict[str, object], crashes: int
 ) -> None:
     for is_known_before in (False, True):
-        desk, upstream = _Desk(), _upstream()
+        bench, upstream = _CrashWatchBench(), _upstream()
         started = replace(upstream.listed, **changes)  # type: ignore[arg-type]
         if is_known_before:
-            desk.watch.note_started(started)
-        desk.watch.note_broken_attempt(lambda: CRASHING, upstream)
+            bench.watch.note_started(started)
+        bench.watch.note_broken_attempt(lambda: CRASHING, upstream)
         if not is_known_before:
-            desk.watch.note_started(started)
-        assert desk.count(CRASHING) == crashes
+            bench.watch.note_started(started)
+        assert bench.count(CRASHING) == crashes
 
 
-def test_only_what_broke_off_with_it_is_suspected() -> None:
-    desk, upstream = _Desk(), _upstream()
-    desk.watch.note_broken_attempt(lambda: HARMLESS, upstream)
-    desk.clock.now_s += 5.0
-    desk.watch.note_broken_attempt(lambda: CRASHING, upstream)
-    desk.watch.note_port_closed(upstream.listed)
-    assert (desk.count(CRASHING), desk.count(HARMLESS)) == (1, 0)
+def test_only_requests_broken_off_at_the_crash_are_suspected() -> None:
+    bench, upstream = _CrashWatchBench(), _upstream()
+    bench.watch.note_broken_attempt(lambda: HARMLESS, upstream)
+    bench.clock.now_s += 5.0
+    bench.watch.note_broken_attempt(lambda: CRASHING, upstream)
+    bench.watch.note_port_closed(upstream.listed)
+    assert (bench.count(CRASHING), bench.count(HARMLESS)) == (1, 0)
 
 
-def test_what_broke_off_long_before_is_forgotten() -> None:
-    desk, upstream = _Desk(), _upstream()
-    desk.watch.note_broken_attempt(lambda: CRASHING, upstream)
-    desk.clock.now_s += crashes_module.RESTART_S + 1
-    desk.watch.note_broken_attempt(lambda: HARMLESS, _upstream(1))
-    desk.watch.note_started(_restart(upstream))
-    assert desk.count(CRASHING) == 0
+def test_old_broken_attempts_are_discarded() -> None:
+    bench, upstream = _CrashWatchBench(), _upstream()
+    bench.watch.note_broken_attempt(lambda: CRASHING, upstream)
+    bench.clock.now_s += crashes_module.RESTART_S + 1
+    bench.watch.note_broken_attempt(lambda: HARMLESS, _upstream(1))
+    bench.watch.note_started(_restart(upstream))
+    assert bench.count(CRASHING) == 0
 
 
-def test_one_crash_counts_once_however_it_shows() -> None:
-    desk, other = _Desk(), _Desk()
+def test_a_crash_detected_several_times_counts_once() -> None:
+    bench, other = _CrashWatchBench(), _CrashWatchBench()
     upstream = _upstream()
-    for watch in (desk.watch, other.watch):
+    for watch in (bench.watch, other.watch):
         watch.note_broken_attempt(lambda: CRASHING, upstream)
         watch.note_port_closed(upstream.listed)
         watch.note_started(_restart(upstream))
     for _ in range(3):
-        desk.watch.take_told(other.watch.tell())
-        other.watch.take_told(desk.watch.tell())
-    assert desk.count(CRASHING) == other.count(CRASHING) == 1
+        bench.watch.take_told(other.watch.tell())
+        other.watch.take_told(bench.watch.tell())
+    assert bench.count(CRASHING) == other.count(CRASHING) == 1
 
 
-def test_crashes_seen_by_several_gateways_add_up_everywhere() -> None:
-    desks = [_Desk() for _ in range(4)]
+def test_crashes_seen_by_several_gateways_add_up() -> None:
+    benches = [_CrashWatchBench() for _ in range(4)]
     for number in range(3):
-        desks[number].crash(number, CRASHING)
-    for sender in desks[:3]:
-        for desk in desks:
-            desk.watch.take_told(sender.watch.tell())
-    assert [desk.count(CRASHING) for desk in desks] == [3] * 4
-    assert all(desk.refused_s(CRASHING) > 0 for desk in desks)
+        benches[number].crash(number, CRASHING)
+    for sender in benches[:3]:
+        for bench in benches:
+            bench.watch.take_told(sender.watch.tell())
+    assert [bench.count(CRASHING) for bench in benches] == [3] * 4
+    assert all(bench.refused_s(CRASHING) > 0 for bench in benches)
 
 
-def test_an_answer_clears_at_every_gateway() -> None:
-    desk, other = _Desk(), _Desk()
+def test_an_answer_clears_a_request_at_every_gateway() -> None:
+    bench, other = _CrashWatchBench(), _CrashWatchBench()
     for number in range(2):
-        desk.crash(number, CRASHING, HARMLESS)
-    other.watch.take_told(desk.watch.tell())
-    before = desk.watch.tell()
-    for gateway in (desk, other):
+        bench.crash(number, CRASHING, HARMLESS)
+    other.watch.take_told(bench.watch.tell())
+    before = bench.watch.tell()
+    for gateway in (bench, other):
         gateway.clock.now_s += 1.0
-    desk.watch.note_answered(HARMLESS)
-    other.watch.take_told(desk.watch.tell())
+    bench.watch.note_answered(HARMLESS)
+    other.watch.take_told(bench.watch.tell())
     assert other.count(HARMLESS) == 0
     # An outdated report from a third gateway does not restore the cleared suspicion.
     late = {name: replace_ages(suspicion, 1.0) for name, suspicion in before.items()}
     other.watch.take_told(late)
-    desk.watch.take_told(late)
-    assert (desk.count(HARMLESS), other.count(HARMLESS)) == (0, 0)
-    assert (desk.count(CRASHING), other.count(CRASHING)) == (2, 2)
+    bench.watch.take_told(late)
+    assert (bench.count(HARMLESS), other.count(HARMLESS)) == (0, 0)
+    assert (bench.count(CRASHING), other.count(CRASHING)) == (2, 2)
 
 
-def test_what_many_callers_send_is_not_suspected_for_being_there() -> None:
+def test_a_request_sent_by_many_callers_is_not_suspected() -> None:
     """A common request is answered constantly, also between a crash and its detection."""
-    desk, other = _Desk(), _Desk()
+    bench, other = _CrashWatchBench(), _CrashWatchBench()
     for number in range(4):
         upstream = _upstream(number)
-        for gateway in (desk, other):
+        for gateway in (bench, other):
             gateway.watch.note_broken_attempt(lambda: HARMLESS, upstream)
             gateway.watch.note_broken_attempt(lambda: CRASHING, upstream)
         # Only one of the gateways sees it answered.
-        desk.watch.note_answered(HARMLESS)
-        for gateway in (desk, other):
+        bench.watch.note_answered(HARMLESS)
+        for gateway in (bench, other):
             gateway.clock.now_s += 1.0
             gateway.watch.note_started(_restart(upstream))
-        desk.watch.take_told(other.watch.tell())
-        other.watch.take_told(desk.watch.tell())
-    assert (desk.count(CRASHING), other.count(CRASHING)) == (4, 4)
-    assert (desk.count(HARMLESS), other.count(HARMLESS)) == (0, 0)
+        bench.watch.take_told(other.watch.tell())
+        other.watch.take_told(bench.watch.tell())
+    assert (bench.count(CRASHING), other.count(CRASHING)) == (4, 4)
+    assert (bench.count(HARMLESS), other.count(HARMLESS)) == (0, 0)
 
 
 def replace_ages(suspicion: crashes_module.Suspicion, more_s: float) -> crashes_module.Suspicion:
@@ -199,53 +199,53 @@
     return crashes_module.Suspicion(ages)
 
 
-def test_two_crashes_end_the_tries_of_a_request_and_three_its_comings() -> None:
-    desk = _Desk()
-    desk.crash(0, CRASHING)
-    assert desk.watch.may_try_again(lambda: CRASHING)
-    desk.crash(1, CRASHING)
-    assert not desk.watch.may_try_again(lambda: CRASHING)
-    assert desk.refused_s(CRASHING) == 0.0
-    desk.crash(2, CRASHING)
-    assert desk.refused_s(CRASHING) == pytest.approx(crashes_module.REFUSAL_S)
+def test_a_request_is_not_retried_after_two_crashes_and_refused_after_three() -> None:
+    bench = _CrashWatchBench()
+    bench.crash(0, CRASHING)
+    assert bench.watch.may_try_again(lambda: CRASHING)
+    bench.crash(1, CRASHING)
+    assert not bench.watch.may_try_again(lambda: CRASHING)
+    assert bench.refused_s(CRASHING) == 0.0
+    bench.crash(2, CRASHING)
+    assert bench.refused_s(CRASHING) == pytest.approx(crashes_module.REFUSAL_S)
 
 
-def test_one_probe_at_a_time_follows_and_longer_refusals_follow_it() -> None:
-    desk, other = _Desk(), _Desk()
+def test_refusals_grow_after_each_probe_and_probes_do_not_overlap() -> None:
+    bench, other = _CrashWatchBench(), _CrashWatchBench()
     for number in range(3):
-        desk.crash(number, CRASHING)
+        bench.crash(number, CRASHING)
     waits_s = []
     for number in range(3, 6):
-        refused_s = desk.refused_s(CRASHING)
+        refused_s = bench.refused_s(CRASHING)
         waits_s.append(refused_s)
-        desk.clock.now_s += refused_s + 0.1
-        other.clock.now_s = desk.clock.now_s
-        other.watch.take_told(desk.watch.tell())
-        assert desk.refused_s(CRASHING) == 0.0
-        assert desk.refused_s(CRASHING) > 0.0
-        other.watch.take_told(desk.watch.tell())
+        bench.clock.now_s += refused_s + 0.1
+        other.clock.now_s = bench.clock.now_s
+        other.watch.take_told(bench.watch.tell())
+        assert bench.refused_s(CRASHING) == 0.0
+        assert bench.refused_s(CRASHING) > 0.0
+        other.watch.take_told(bench.watch.tell())
         assert other.refused_s(CRASHING) > 0.0
-        desk.crash(number, CRASHING)
+        bench.crash(number, CRASHING)
     assert waits_s == pytest.approx([60.0, 240.0, 960.0])
 
 
-def test_a_probe_that_is_answered_ends_the_refusals() -> None:
-    desk = _Desk()
+def test_an_answered_probe_ends_the_refusals() -> None:
+    bench = _CrashWatchBench()
     for number in range(3):
-        desk.crash(number, HARMLESS)
-    desk.clock.now_s += crashes_module.REFUSAL_S + 0.1
-    assert desk.refused_s(HARMLESS) == 0.0
-    desk.watch.note_answered(HARMLESS)
-    assert desk.refused_s(HARMLESS) == 0.0
-    assert desk.count(HARMLESS) == 0
+        bench.crash(number, HARMLESS)
+    bench.clock.now_s += crashes_module.REFUSAL_S + 0.1
+    assert bench.refused_s(HARMLESS) == 0.0
+    bench.watch.note_answered(HARMLESS)
+    assert bench.refused_s(HARMLESS) == 0.0
+    assert bench.count(HARMLESS) == 0
 
 
-def test_suspicions_are_bounded_and_forgotten() -> None:
-    desk = _Desk()
+def test_suspicions_are_limited_in_number_and_expire() -> None:
+    bench = _CrashWatchBench()
     for number in range(crashes_module.MAX_SUSPECTS + 100):
-        desk.crash(number, b"%d" % number)
-    assert len(desk.watch._suspects) == crashes_module.MAX_SUSPECTS
-    assert len(desk.watch.tell()) == crashes_module.MAX_REPORTED_SUSPECTS
-    desk.clock.now_s += crashes_module.SUSPICION_RETENTION_S + 1
-    assert desk.watch.tell() == {}
-    assert desk.watch._suspects == {}
+        bench.crash(number, b"%d" % number)
+    assert len(bench.watch._suspects) == crashes_module.MAX_SUSPECTS
+    assert len(bench.watch.tell()) == crashes_module.MAX_REPORTED_SUSPECTS
+    bench.clock.now_s += crashes_module.SUSPICION_RETENTION_S + 1
+    assert bench.watch.tell() == {}
+    assert bench.watch._suspects == {}
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,10 +1,9 @@
-"""Check that a request which crashes whoever runs it does not go on to crash more.
+"""Test that gateways stop sending a request that crashes upstreams.
 
-Seen: one request crashed three of six upstreams, came again under other ids, and crashed 11 more.
-How: each crash looked like a lost connection; the request was tried at the next upstream, and its
-next coming was a new request to every gateway.
-Cause: no gateway kept what was in hand at an upstream when it crashed.
-Proof: the upstreams of these tests crash by nothing but one body, and start again at once.
+Guards against retrying such a request at one upstream after another: a crash looks like a broken
+connection, and the same request with another ID looks like a new one. One request crashed three of
+six upstreams and, sent again by its caller, caused 11 more crashes, because gateways did not record
+the requests in flight at a crash. In these tests upstreams crash only on one request body.
 """
 
 from __future__ import annotations
@@ -20,13 +19,13 @@
 
 CRASHES = b"crashes"
 UPSTREAMS = 6
-MOST = 6
-"""A request that has crashed three may reach upstreams three times more."""
+MAX_ARRIVALS = 6
+"""A request may reach upstreams three more times after it has crashed three."""
 _LIMITS = Limits(65_536, 65_536, 10.0, 60.0)
 
 
 async def _add_crashing(bench: GatewayBench) -> None:
-    """Start upstreams that crash by one body and are back at once, under the ids they had."""
+    """Start upstreams that crash on one body and restart immediately under the same IDs."""
     await bench.apply(make_config())
     for number in range(UPSTREAMS):
         name, starts = f"s{number}", itertools.count(1)
@@ -44,8 +43,8 @@
     return lambda: bench.list_server(name, address, born=next(starts))
 
 
-async def _settle(bench: GatewayBench) -> None:
-    """Wait until the gateway knows of each upstream's last start."""
+async def _wait_for_restarts(bench: GatewayBench) -> None:
+    """Wait until the gateway knows the last restart of each upstream."""
 
     def knows(name: str) -> bool:
         return bench.listed(name).started_at_ms == bench.read_entry(name)["born"]
@@ -57,23 +56,23 @@
     return sum(request.body == CRASHES for s in bench.servers.values() for request in s.seen)
 
 
-def test_a_request_that_crashed_three_upstreams_crashes_few_more() -> None:
+def test_a_crashing_request_is_refused_after_three_crashes() -> None:
     for path in ("/read/1", "/pay/1", "/stream/1"):
 
         async def scenario(bench: GatewayBench, path: str = path) -> None:
             await _add_crashing(bench)
             for _ in range(12):
                 answer = await bench.ask(path, body=CRASHES)
-                await _settle(bench)
-            assert _count_crashes(bench) <= MOST
+                await _wait_for_restarts(bench)
+            assert _count_crashes(bench) <= MAX_ARRIVALS
             assert answer.status == 503
             assert answer.head.get(b"retry-after") is not None
 
         run_bench(scenario)
 
 
-def test_a_closed_port_tells_of_a_crash() -> None:
-    """The list still shows the upstreams as ready; each crash after the third was avoidable."""
+def test_a_closed_port_counts_as_a_crash() -> None:
+    """Guards against crashes after the third while the list still shows upstreams as ready."""
 
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
@@ -98,8 +97,8 @@
     run_bench(scenario)
 
 
-def test_others_of_its_caller_and_path_are_served() -> None:
-    """What is in hand beside it is cut off each time, and is no worse for it."""
+def test_other_requests_of_the_same_caller_and_path_are_served() -> None:
+    """Guards against refusing other requests that are in flight at each crash."""
 
     async def scenario(bench: GatewayBench) -> None:
         await _add_crashing(bench)
@@ -107,15 +106,15 @@
             for server in bench.servers.values():
                 server.ways, server.reached = [Way.HANG], asyncio.Event()
             connections = [await bench.connect() for _ in range(UPSTREAMS)]
-            beside = [
+            others = [
                 asyncio.ensure_future(bench.ask("/pay/1", connection=c, body=b"harmless"))
                 for c in connections
             ]
             for server in bench.servers.values():
                 await server.reached.wait()
             await bench.ask("/pay/1", body=CRASHES)
-            await _settle(bench)
-            for task, connection in zip(beside, connections, strict=True):
+            await _wait_for_restarts(bench)
+            for task, connection in zip(others, connections, strict=True):
                 task.cancel()
                 connection.abort()
             for server in bench.servers.values():
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -1,4 +1,4 @@
-"""Check the small parts of a gateway: settings, tables, events, repeats, pass times."""
+"""Test settings, routing tables, events, retries and pass times of a gateway."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 }
 
 
-def test_settings_take_comments_and_pass_over_what_is_new() -> None:
+def test_settings_allow_comments_and_unknown_fields() -> None:
     text = "// a comment\n" + json.dumps({**SETTINGS, "from_a_later_release": 1})
     assert parse_gateway_settings(text).name == "gw"
     assert list_unknown(text) == ["from_a_later_release"]
@@ -52,17 +52,17 @@
         ({"log_level": "loud"}, "choices: debug, info"),
     ],
 )
-def test_bad_settings_are_named(change: dict[str, object], message: str) -> None:
+def test_errors_name_invalid_settings(change: dict[str, object], message: str) -> None:
     with pytest.raises(SettingsError, match=message):
         parse_gateway_settings(json.dumps({**SETTINGS, **change}))
 
 
-def test_a_missing_setting_is_named() -> None:
+def test_errors_name_a_missing_setting() -> None:
     with pytest.raises(SettingsError, match="'store' is missing"):
         parse_gateway_settings(json.dumps({k: v for k, v in SETTINGS.items() if k != "store"}))
 
 
-def test_the_template_gives_settings_once_its_gaps_are_filled() -> None:
+def test_the_filled_template_is_valid() -> None:
     text = Path("deploy/gateway.json5").read_text()
     fills = {
         "{{nodeName|json}}": '"gw"',
@@ -107,7 +107,7 @@
     assert table.find_route("other.example", path) is None
 
 
-def test_a_configuration_is_decoded_into_our_own_terms() -> None:
+def test_a_configuration_is_decoded() -> None:
     config = make_config()
     routes = list(config["routes"])  # type: ignore[call-overload]
     split = [{"service": "desk", "weight": 90}, {"service": "desk2", "weight": 10}]
@@ -120,7 +120,7 @@
     assert table.requires_key
 
 
-def test_a_configuration_with_an_unknown_kind_is_refused_whole() -> None:
+def test_a_configuration_with_an_unknown_kind_is_rejected() -> None:
     config = make_config()
     routes = list(config["routes"])  # type: ignore[call-overload]
     routes[0] = {**routes[0], "kind": "sideways"}
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize("size", range(1, 12))
-def test_events_pass_whole_however_they_come(size: int) -> None:
+def test_events_are_complete_for_any_size_of_pieces(size: int) -> None:
     splitter = EventSplitter()
     passed = b""
     for start in range(0, len(STREAM), size):
@@ -166,25 +166,25 @@
     assert splitter.flush() == b""
 
 
-def test_a_part_of_an_event_is_dropped_with_its_source() -> None:
+def test_an_incomplete_event_is_discarded_when_its_connection_breaks() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\n\nid: 2\ndata") == b"id: 1\n\n"
     splitter.discard_partial()
     assert splitter.feed(b"id: 2\ndata: b\n\n") == b"id: 2\ndata: b\n\n"
 
 
-def test_repeats_stay_within_their_share_of_a_sliding_window() -> None:
+def test_retries_stay_within_their_share_of_a_sliding_window() -> None:
     window = RetryWindow(window_s=10.0, share=0.2, extra=2.0)
     for number in range(10):
         window.count_first_attempt(float(number))
     taken = sum(window.take_repeat(9.5) for _ in range(10))
     assert taken == 4
-    # At 12.5 s the first tries of the first seconds have left the window: fewer may follow.
+    # At 12.5 s the oldest first attempts have left the window, so fewer retries are allowed.
     assert not window.take_repeat(12.5)
     assert window.take_repeat(20.0)
 
 
-def test_passes_that_grow_longer_for_their_batch_are_noticed() -> None:
+def test_passes_that_take_longer_at_the_same_batch_size_are_detected() -> None:
     now_s, batch, noticed = 100.0, 2.0, []
     pass_times = PassTimes(lambda: now_s, lambda: batch, lambda b: 20.0 * b)
     pass_times.on_slower = lambda: noticed.append(now_s)
@@ -208,7 +208,7 @@
     assert noticed == []
 
 
-def test_ejection_never_takes_most_of_a_service() -> None:
+def test_ejections_never_exclude_most_of_a_service() -> None:
     upstreams = UpstreamSet(random.Random(1))
     for number in range(6):
         entry = {"service": "d", "address": "10.0.0.1:1", "zone": "h", "slots": 2, "state": "ready"}
@@ -219,8 +219,8 @@
     assert sum(u.ejected_until_s > 50.0 for u in upstreams) == 2
 
 
-def test_what_has_come_of_a_broken_stream_is_not_expected_again() -> None:
-    """A stream near its time was cut though what was left of its answer would fit."""
+def test_the_expected_run_time_excludes_received_events() -> None:
+    """Guards against cutting off a resumed stream whose remaining answer would be in time."""
 
     async def scenario() -> None:
         state = GatewayState(
@@ -246,7 +246,7 @@
     asyncio.run(scenario())
 
 
-def test_whole_events_are_counted() -> None:
+def test_complete_events_are_counted() -> None:
     splitter = EventSplitter()
     splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
     assert splitter.count == 1
@@ -254,8 +254,8 @@
     assert splitter.count == 2
 
 
-def test_a_slow_rank_gets_nothing_while_other_ranks_stand() -> None:
-    """With every other slot taken it got the next request, and its group passed slowly again."""
+def test_a_slow_rank_gets_no_requests_while_other_ranks_are_listed() -> None:
+    """Guards against slowing down a group by using its slow rank when all others are occupied."""
     upstreams = UpstreamSet(random.Random(1))
     for rank in (0, 1):
         listed = ListedUpstream(f"s{rank}", "desk", "127.0.0.1:9", "hall", 1, False, "g", rank, 2)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -30,13 +30,13 @@
 
 
 @pytest.mark.parametrize("value", UNUSABLE)
-def test_an_unusable_backoff_says_nothing(value: str) -> None:
+def test_an_invalid_backoff_is_ignored(value: str) -> None:
     signals = read_signals(_head(("retry-after", value)), HEADERS)
     assert signals.backoff_s == 0.0
     assert signals.unusable == (value.encode(),)
 
 
-def test_a_date_says_nothing() -> None:
+def test_a_backoff_given_as_a_date_is_ignored() -> None:
     head = _head(("retry-after", "Wed, 21 Oct 2026 07:28:00 GMT"))
     assert read_signals(head, HEADERS).backoff_s == 0.0
 
@@ -53,18 +53,18 @@
         (["999999999999"], MAX_BACKOFF_S),
     ],
 )
-def test_of_several_backoffs_the_longest_usable_holds(values: list[str], backoff_s: float) -> None:
+def test_the_longest_valid_backoff_is_used(values: list[str], backoff_s: float) -> None:
     head = _head(*(("retry-after", value) for value in values))
     assert read_signals(head, HEADERS).backoff_s == backoff_s
 
 
 @pytest.mark.parametrize("status", [200, 429, 500])
-def test_only_a_refusal_for_the_upstreams_own_sake_asks_for_rest(status: int) -> None:
+def test_a_backoff_is_only_read_from_service_unavailable_answers(status: int) -> None:
     assert read_signals(_head(("retry-after", "3"), status=status), HEADERS) == Signals()
 
 
 @pytest.mark.parametrize("value", UNUSABLE)
-def test_an_unusable_limit_neither_sets_one_nor_ends_one(value: str) -> None:
+def test_an_invalid_limit_neither_sets_nor_removes_a_limit(value: str) -> None:
     signals = read_signals(_head(("server-limit", value), status=200), HEADERS)
     assert signals.limit_per_s is None
     assert signals.is_limit_unusable
@@ -75,9 +75,7 @@
     ("values", "limit_per_s"),
     [([], None), (["4.0"], 4.0), (["0"], 0.0), (["4", "1.5"], 1.5), (["soon", "2"], 2.0)],
 )
-def test_of_several_limits_the_lowest_usable_holds(
-    values: list[str], limit_per_s: float | None
-) -> None:
+def test_the_lowest_valid_limit_is_used(values: list[str], limit_per_s: float | None) -> None:
     head = _head(*(("server-limit", value) for value in values), status=200)
     signals = read_signals(head, HEADERS)
     assert signals.limit_per_s == limit_per_s
--- a/tests/test_upstream_leaves.py
+++ b/tests/test_upstream_leaves.py
@@ -1,9 +1,8 @@
-"""Check that an upstream which says in an answer that it leaves gets no new request.
+"""Test that an upstream gets no new requests after an answer with `Server-Leaving: 1`.
 
-Seen: 2.1 s after an answer with `Server-Leaving: 1`, 10 to 22 of 40 requests reached the upstream.
-How: its entry still said that it is ready, and was all that was looked at.
-Cause: as with rests, what an upstream says of itself in answers was not kept.
-Proof: the entry stays as it is throughout these tests.
+Guards against using only the list entry, which may remain ready for a while: 2.1 s after such an
+answer, 10 to 22 of 40 requests still reached the upstream. The entry does not change in these tests
+unless a test updates it.
 """
 
 from __future__ import annotations
@@ -22,64 +21,65 @@
     say_ready_again,
 )
 
-ASKED = 20
+REQUESTS = 20
 LEAVING = (b"server-leaving", b"1")
 
 
-async def _make_leave(bench: GatewayBench, path: str, *ways: Way) -> None:
-    """Have the one upstream say that it leaves in its answer to one request."""
+async def _add_leaving_upstream(bench: GatewayBench, path: str, *ways: Way) -> None:
+    """Add an upstream that announces in its answer to one request that it is leaving."""
     await bench.apply(make_config())
     leaving = await bench.add_server("s0", *ways)
     leaving.says = [LEAVING]
     await bench.ask(path)
 
 
-async def _count_reached(bench: GatewayBench) -> int:
+async def _count_received(bench: GatewayBench) -> int:
     before = len(bench.servers["s0"].seen)
-    for _ in range(ASKED):
+    for _ in range(REQUESTS):
         await bench.ask("/read/1")
     return len(bench.servers["s0"].seen) - before
 
 
-def test_an_upstream_that_says_it_leaves_gets_no_new_request() -> None:
+def test_an_upstream_that_announces_leaving_gets_no_new_request() -> None:
     answers = (("/read/0", Way.WELL), ("/stream/0", Way.WELL), ("/pay/0", Way.ERROR))
     for path, way in (*answers, ("/read/0", Way.REFUSE)):
 
         async def scenario(bench: GatewayBench, path: str = path, way: Way = way) -> None:
-            await _make_leave(bench, path, way)
+            await _add_leaving_upstream(bench, path, way)
             await bench.add_server("s1")
-            assert await _count_reached(bench) == 0
-            assert len(bench.servers["s1"].seen) == ASKED
+            assert await _count_received(bench) == 0
+            assert len(bench.servers["s1"].seen) == REQUESTS
 
         run_bench(scenario)
 
 
-def test_that_it_leaves_binds_where_no_other_upstream_is_there() -> None:
+def test_a_leaving_upstream_gets_no_requests_without_another_upstream() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _make_leave(bench, "/read/0")
-        assert await _count_reached(bench) == 0
+        await _add_leaving_upstream(bench, "/read/0")
+        assert await _count_received(bench) == 0
         assert (await bench.ask("/read/1")).status == 503
 
     run_bench(scenario)
 
 
-def test_the_list_does_not_take_back_that_it_leaves() -> None:
-    for happens in (say_ready_again, lapse_and_return):
+def test_the_list_does_not_reset_an_announcement_of_leaving() -> None:
+    for update_list in (say_ready_again, lapse_and_return):
 
         async def scenario(
-            bench: GatewayBench, happens: Callable[[GatewayBench], Awaitable[None]] = happens
+            bench: GatewayBench,
+            update_list: Callable[[GatewayBench], Awaitable[None]] = update_list,
         ) -> None:
-            await _make_leave(bench, "/read/0")
+            await _add_leaving_upstream(bench, "/read/0")
             await bench.add_server("s1")
-            await happens(bench)
-            assert await _count_reached(bench) == 0
+            await update_list(bench)
+            assert await _count_received(bench) == 0
 
         run_bench(scenario)
 
 
-def test_a_new_start_does_not_leave() -> None:
+def test_a_restart_resets_an_announcement_of_leaving() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _make_leave(bench, "/read/0")
+        await _add_leaving_upstream(bench, "/read/0")
         bench.servers["s0"].says = []
         bench.list_server("s0", str(bench.read_entry("s0")["address"]), born=7)
         await bench.until(lambda: bench.listed("s0").started_at_ms == 7)
@@ -88,7 +88,7 @@
     run_bench(scenario)
 
 
-def test_what_it_has_in_hand_goes_on() -> None:
+def test_requests_in_flight_at_a_leaving_upstream_continue() -> None:
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         leaving = await bench.add_server("s0")
@@ -105,21 +105,21 @@
 
 
 @pytest.mark.parametrize("value", [b"0", b"", b"true", b"-1", b"11"])
-def test_another_value_says_nothing(value: bytes) -> None:
+def test_other_header_values_are_ignored(value: bytes) -> None:
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         server = await bench.add_server("s0")
         server.says = [(b"server-leaving", value)]
         await bench.ask("/read/0")
-        assert await _count_reached(bench) == ASKED
+        assert await _count_received(bench) == REQUESTS
 
     run_bench(scenario)
 
 
 @pytest.mark.parametrize("way", [Way.OTHERS_REFUSAL_FIRST, Way.OTHER_SERVER])
-def test_what_another_answer_says_binds_nobody(way: Way) -> None:
+def test_headers_of_other_answers_are_ignored(way: Way) -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _make_leave(bench, "/read/0", way)
+        await _add_leaving_upstream(bench, "/read/0", way)
         bench.servers["s0"].says = []
         await bench.until(lambda: bench.gateway.state.upstreams.of_service("desk") != [])
         (upstream,) = bench.gateway.state.upstreams
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -1,11 +1,10 @@
-"""Check that all gateways together keep to the limit that an upstream in need names.
-
-Seen: with `Server-Limit: 4.0` 133 requests reached the upstream in 4 s through one gateway and 140
-through three, where 29 are allowed.
-How: it was the least loaded, and got requests as fast as it answered them.
-Cause: as with rests and leaving; besides, a limit is one sum over all gateways, of which none
-knows what the others send.
-Proof: the upstreams of these tests have slots free throughout, and others serve beside them.
+"""Test that gateways together respect the rate limit that an upstream sets with `Server-Limit`.
+
+Guards against sending requests to the least loaded upstream as fast as it answers them: with a
+limit of 4 requests/s, 133 reached it in 4 s through one gateway and 140 through three, where 29
+are allowed. Gateways ignored the header, and the limit applies to the sum over all gateways, none
+of which knows the requests of the others. In these tests other upstreams are available, and all
+have free slots.
 """
 
 from __future__ import annotations
@@ -28,12 +27,12 @@
     start_gateway,
 )
 
-LEARNED_S = 0.5
-"""What comes later than this after the first answer that named a limit is counted."""
+COUNT_DELAY_S = 0.5
+"""Time after the first answer with a limit from which requests are counted."""
 
 
 class LimitedServer(ServerStandIn):
-    """Note when each request came."""
+    """Record the arrival time of each request."""
 
     def __init__(self, limit: str) -> None:
         super().__init__("s0", says=[(b"server-limit", limit.encode())])
@@ -45,7 +44,7 @@
 
     def list_counted(self) -> list[float]:
         first_s = self.times_s[0]
-        return [t for t in self.times_s if t - first_s > LEARNED_S]
+        return [t for t in self.times_s if t - first_s > COUNT_DELAY_S]
 
 
 async def _add_limited(bench: GatewayBench, limit: str) -> LimitedServer:
@@ -57,7 +56,7 @@
 
 
 @pytest.mark.parametrize("limit", ["1.0", "0"])
-def test_one_gateway_keeps_to_a_limit(limit: str) -> None:
+def test_one_gateway_respects_a_limit(limit: str) -> None:
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         limited = await _add_limited(bench, limit)
@@ -72,7 +71,7 @@
     run_bench(scenario)
 
 
-def test_three_gateways_keep_to_a_limit_together() -> None:
+def test_three_gateways_together_respect_a_limit() -> None:
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         others = [await start_gateway(bench.store_address, name) for name in ("gw-2", "gw-3")]
@@ -103,8 +102,8 @@
 
 
 @pytest.mark.parametrize("way", [Way.CUT_UNANSWERED, Way.OTHER_SERVER])
-def test_only_an_answer_without_it_ends_a_limit(way: Way) -> None:
-    """A try that brought no answer of the upstream's own says nothing of its limit."""
+def test_only_an_answer_without_a_limit_removes_it(way: Way) -> None:
+    """Guards against removing a limit after an attempt without an answer of the upstream."""
 
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
@@ -114,7 +113,7 @@
         assert upstream.said.limit_per_s == 50.0
         limited.ways = [way]
         while limited.ways:
-            # Tokens come with time.
+            # Tokens accrue over time.
             await bench.ask("/open/1")
         assert upstream.said.limit_per_s == 50.0
         limited.ways, limited.says = [], []
