--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -48,7 +48,7 @@
     for gateway in world.gateways.values():
         gateway.tokens._send = _count(gateway.tokens._send, gateway.name, sent)
     await asyncio.sleep(SETTLE_S)
-    world.ask_often(ASKED_PER_S)
+    world.send_requests(ASKED_PER_S)
     await asyncio.sleep(PLAYED_S - SETTLE_S)
     world.close()
     times_s = [a.at_s for a in server.arrivals if a.at_s > COUNTED_AFTER_S]
--- a/dalehollow/gateway/admission.py
+++ b/dalehollow/gateway/admission.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True)
-class Turn:
+class AdmissionRequest:
     """Describe what decides whether and in which order a request is admitted.
 
     `expected_duration_s` is that of its answer at the current token rate, 0 if unknown.
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True)
-class NoPlace:
+class AdmissionRefusal:
     """Describe why a request was not admitted and when its caller should retry."""
 
     reason: str
@@ -75,9 +75,9 @@
 @dataclass
 class _Waiter:
     effective_arrival_s: float
-    turn: Turn
+    request: AdmissionRequest
     tried: Collection[str]
-    granted: asyncio.Future[Upstream | NoPlace]
+    granted: asyncio.Future[Upstream | AdmissionRefusal]
 
 
 @dataclass
@@ -100,36 +100,38 @@
     # Moving average of the time until a streamed answer begins or another answer is complete.
     _answer_latency_s: float = 0.0
 
-    async def take(self, turn: Turn, tried: Collection[str]) -> Upstream | NoPlace:
+    async def acquire(
+        self, request: AdmissionRequest, tried: Collection[str]
+    ) -> Upstream | AdmissionRefusal:
         """Acquire a slot, waiting for one if necessary; the caller must release it."""
-        is_client_retry = self._note_time_left(turn)
+        is_client_retry = self._note_time_left(request)
         if not self.upstreams.of_service(self.service):
-            return NoPlace("no_upstream", self._retry_after_s(turn))
-        if turn.expected_duration_s > turn.time_left_s:
+            return AdmissionRefusal("no_upstream", self._retry_after_s(request))
+        if request.expected_duration_s > request.time_left_s:
             # The request would time out and occupy a slot that another request could use.
-            return NoPlace("too_long_now", self._max_retry_after_s(turn))
+            return AdmissionRefusal("too_long_now", self._max_retry_after_s(request))
         is_broken = self.is_broken()
         if is_broken and not self._may_probe():
             # The time of recovery is unknown, so that most waiting requests would time out.
-            return NoPlace("group_broken", self._max_retry_after_s(turn))
+            return AdmissionRefusal("group_broken", self._max_retry_after_s(request))
         if not self.waiting or is_broken:
             upstream = self._choose_upstream(tried, requests_tokens=True)
             if upstream is not None:
                 return self._reserve(upstream)
         candidates = self._list_candidates(tried)
         if not candidates:
-            return self._refuse_without_candidates(turn)
-        max_wait_s = self._max_wait_s(turn, is_client_retry)
+            return self._refuse_without_candidates(request)
+        max_wait_s = self._max_wait_s(request, is_client_retry)
         if self._expected_wait_s() > max_wait_s:
             lacks_tokens = self.upstreams.lacks_tokens(candidates, self.clock())
             if not lacks_tokens or len(self.waiting) >= MAX_REQUESTED_TOKENS:
-                return NoPlace("no_place_in_time", self._retry_after_s(turn))
+                return AdmissionRefusal("no_place_in_time", self._retry_after_s(request))
             max_wait_s = min(max_wait_s, TOKEN_REQUEST_LIFE_S)
-        return await self._wait(turn, tried, is_client_retry, max_wait_s)
+        return await self._wait(request, tried, is_client_retry, max_wait_s)
 
     def release(self, upstream: Upstream) -> None:
         """Release the slot of a finished request."""
-        upstream.in_hand -= 1
+        upstream.in_flight -= 1
         now_s = self.clock()
         if self._completed_at_s:
             interval_s = min(1.0, now_s - self._completed_at_s)
@@ -150,11 +152,11 @@
         groups = self.upstreams.groups_of(self.service)
         return bool(groups) and all(map(self.health.is_broken, groups))
 
-    def suggest_retry_after_s(self, turn: Turn) -> float:
+    def suggest_retry_after_s(self, request: AdmissionRequest) -> float:
         """Return after which time a refused caller should retry."""
         if self.is_broken():
-            return self._max_retry_after_s(turn)
-        return self._retry_after_s(turn)
+            return self._max_retry_after_s(request)
+        return self._retry_after_s(request)
 
     def grant(self) -> None:
         """Grant free slots to waiting requests in queue order."""
@@ -168,12 +170,12 @@
             if upstream is not None:
                 self._end_wait(waiter, self._reserve(upstream))
             elif not self._list_candidates(waiter.tried):
-                self._end_wait(waiter, self._refuse_without_candidates(waiter.turn))
+                self._end_wait(waiter, self._refuse_without_candidates(waiter.request))
             elif not waiter.tried:
                 # No slot is free for a first attempt, so none is free for the requests behind it.
                 return
 
-    def _end_wait(self, waiter: _Waiter, outcome: Upstream | NoPlace) -> None:
+    def _end_wait(self, waiter: _Waiter, outcome: Upstream | AdmissionRefusal) -> None:
         self.waiting.remove(waiter)
         waiter.granted.set_result(outcome)
 
@@ -182,25 +184,31 @@
         excluded_groups = self._list_excluded_groups()
         return self.upstreams.list_candidates(self.service, tried, self.clock(), excluded_groups)
 
-    def _refuse_without_candidates(self, turn: Turn) -> NoPlace:
-        is_in_backoff = self.upstreams.rest_left_s(self.service, self.clock()) > 0
-        return NoPlace("all_resting" if is_in_backoff else "all_tried", self._retry_after_s(turn))
+    def _refuse_without_candidates(self, request: AdmissionRequest) -> AdmissionRefusal:
+        is_in_backoff = self.upstreams.backoff_left_s(self.service, self.clock()) > 0
+        return AdmissionRefusal(
+            "all_resting" if is_in_backoff else "all_tried", self._retry_after_s(request)
+        )
 
     async def _wait(
-        self, turn: Turn, tried: Collection[str], is_client_retry: bool, max_wait_s: float
-    ) -> Upstream | NoPlace:
-        effective_arrival_s = self.clock() + turn.priority * PRIORITY_OFFSET_S
+        self,
+        request: AdmissionRequest,
+        tried: Collection[str],
+        is_client_retry: bool,
+        max_wait_s: float,
+    ) -> Upstream | AdmissionRefusal:
+        effective_arrival_s = self.clock() + request.priority * PRIORITY_OFFSET_S
         if is_client_retry:
             effective_arrival_s -= CLIENT_RETRY_HEAD_START_S
         waiter = _Waiter(
-            effective_arrival_s, turn, tried, asyncio.get_running_loop().create_future()
+            effective_arrival_s, request, tried, asyncio.get_running_loop().create_future()
         )
         self.waiting.append(waiter)
         try:
             async with asyncio.timeout(max_wait_s):
                 return await waiter.granted
         except TimeoutError:
-            return NoPlace("no_place", self._retry_after_s(turn))
+            return AdmissionRefusal("no_place", self._retry_after_s(request))
         except asyncio.CancelledError:
             if waiter.granted.done() and not waiter.granted.cancelled():
                 granted = waiter.granted.result()
@@ -211,11 +219,11 @@
             if waiter in self.waiting:
                 self.waiting.remove(waiter)
 
-    def _max_wait_s(self, turn: Turn, is_client_retry: bool) -> float:
-        max_wait_s = max(0.0, turn.objective_s - self._answer_latency_s)
+    def _max_wait_s(self, request: AdmissionRequest, is_client_retry: bool) -> float:
+        max_wait_s = max(0.0, request.objective_s - self._answer_latency_s)
         if is_client_retry:
             max_wait_s = CLIENT_RETRY_MAX_WAIT_S
-        return min(max_wait_s, turn.time_left_s)
+        return min(max_wait_s, request.time_left_s)
 
     def _expected_wait_s(self) -> float:
         """Return the expected wait of a request that joins the queue now."""
@@ -248,16 +256,16 @@
         return max(self.health.refused_at_s[group_key], group_probed_at_s) + pause_s
 
     def _reserve(self, upstream: Upstream) -> Upstream:
-        self.upstreams.take(upstream)
+        self.upstreams.acquire(upstream)
         if self.health.is_broken(upstream.listed.group_key):
             self._group_probed_at_s[upstream.listed.group_key] = self.clock()
         return upstream
 
-    def _note_time_left(self, turn: Turn) -> bool:
+    def _note_time_left(self, request: AdmissionRequest) -> bool:
         """Record a caller's remaining time and return whether the request is a client retry."""
-        max_s = max(turn.caller_time_left_s, self._max_time_left_s.get(turn.route, 0.0))
-        self._max_time_left_s[turn.route] = max_s
-        return turn.caller_time_left_s < CLIENT_RETRY_TIME_LEFT_SHARE * max_s
+        max_s = max(request.caller_time_left_s, self._max_time_left_s.get(request.route, 0.0))
+        self._max_time_left_s[request.route] = max_s
+        return request.caller_time_left_s < CLIENT_RETRY_TIME_LEFT_SHARE * max_s
 
     def _may_probe(self) -> bool:
         now_s = self.clock()
@@ -266,18 +274,18 @@
         self._probed_at_s = now_s
         return True
 
-    def _max_retry_after_s(self, turn: Turn) -> float:
-        return min(RETRY_AFTER_MAX_S, RETRY_AFTER_TIME_LEFT_SHARE * turn.time_left_s)
+    def _max_retry_after_s(self, request: AdmissionRequest) -> float:
+        return min(RETRY_AFTER_MAX_S, RETRY_AFTER_TIME_LEFT_SHARE * request.time_left_s)
 
-    def _retry_after_s(self, turn: Turn) -> float:
+    def _retry_after_s(self, request: AdmissionRequest) -> float:
         """Return when a slot is expected to be free, after those offered to earlier callers.
 
         While all upstreams are in backoff, this is at least the end of the first backoff, even if
         callers do not wait that long: an earlier retry is certain to be refused.
         """
         now_s = self.clock()
-        backoff_s = self.upstreams.rest_left_s(self.service, now_s)
-        max_s = max(self._max_retry_after_s(turn), backoff_s and backoff_s + BACKOFF_SPREAD_S)
+        backoff_s = self.upstreams.backoff_left_s(self.service, now_s)
+        max_s = max(self._max_retry_after_s(request), backoff_s and backoff_s + BACKOFF_SPREAD_S)
         interval_s = self._completion_interval_s / CLIENT_RETRY_SLOT_SHARE
         self._promised_until_s = max(self._promised_until_s, now_s + backoff_s) + interval_s
         wait_s = RETRY_AFTER_MIN_S + self._promised_until_s - now_s
--- a/dalehollow/gateway/crashes.py
+++ b/dalehollow/gateway/crashes.py
@@ -158,7 +158,7 @@
         if name in self._suspects:
             self._clear(name, now_s)
 
-    def may_try_again(self, fingerprint: Callable[[], Fingerprint]) -> bool:
+    def may_be_retried(self, fingerprint: Callable[[], Fingerprint]) -> bool:
         """Return whether a request may be retried after its connection broke."""
         suspect = self._suspects.get(fingerprint()) if self._suspects else None
         return suspect is None or len(suspect.crashes) < MAX_CRASHES_FOR_RETRY
@@ -183,7 +183,7 @@
         """Return the upstreams that each suspected request crashed, by fingerprint."""
         return {name.hex(): list(s.crashes) for name, s in self._suspects.items() if s.crashes}
 
-    def tell(self) -> dict[Fingerprint, Suspicion]:
+    def export_suspicions(self) -> dict[Fingerprint, Suspicion]:
         """Return the most recent suspicions for a report to other gateways."""
         now_s = self._clock()
         self._discard_expired(now_s)
@@ -197,7 +197,7 @@
             for name, suspect in newest
         }
 
-    def take_told(self, reported: Mapping[Fingerprint, Suspicion]) -> None:
+    def merge_reported(self, reported: Mapping[Fingerprint, Suspicion]) -> None:
         """Merge the suspicions reported by another gateway."""
         now_s = self._clock()
         for name, suspicion in reported.items():
--- a/dalehollow/gateway/exchange.py
+++ b/dalehollow/gateway/exchange.py
@@ -8,7 +8,7 @@
 
 from dalehollow.aio import AnswerHead, CallerConnection, CallerRequest, CutError
 from dalehollow.gateway import outcome
-from dalehollow.gateway.admission import NoPlace, Turn
+from dalehollow.gateway.admission import AdmissionRefusal, AdmissionRequest
 from dalehollow.gateway.admit import Job, Refusal, admit
 from dalehollow.gateway.attempt import Answered, AttemptResult, MayHaveRun, NotRun, send_attempt
 from dalehollow.gateway.crashes import Fingerprint, make_fingerprint
@@ -77,35 +77,35 @@
         admission = self._state.admission(self._job.service)
         while True:
             began_s = self._clock()
-            place = await admission.take(self._make_turn(), self._progress.tried)
+            granted = await admission.acquire(self._make_admission_request(), self._progress.tried)
             self._progress.waited_s += self._clock() - began_s
-            if isinstance(place, NoPlace):
-                return self._give_up(place.reason, place.retry_after_s)
-            self._note_chosen(place)
+            if isinstance(granted, AdmissionRefusal):
+                return self._give_up(granted.reason, granted.retry_after_s)
+            self._note_chosen(granted)
             self._state.on_change()
             try:
-                is_done = await self._run_attempt(place)
+                is_done = await self._run_attempt(granted)
             finally:
-                admission.release(place)
+                admission.release(granted)
                 self._state.on_change()
             if is_done:
                 return None
             if self._retry_taken_at_s is None and not self._take_retry():
                 return self._give_up(
-                    "no_try_left", admission.suggest_retry_after_s(self._make_turn())
+                    "no_try_left", admission.suggest_retry_after_s(self._make_admission_request())
                 )
 
     def _note_chosen(self, upstream: Upstream) -> None:
         progress = self._progress
         progress.tried.append(upstream.listed.incarnation)
         progress.load = upstream.load(self._clock())
-        progress.rest_left_s = upstream.rest_left_s(self._clock())
+        progress.backoff_left_s = upstream.backoff_left_s(self._clock())
         progress.is_far = upstream.listed.hall != self._state.upstreams.hall
 
-    def _make_turn(self) -> Turn:
+    def _make_admission_request(self) -> AdmissionRequest:
         job = self._job
         events = self._progress.splitter.count
-        return Turn(
+        return AdmissionRequest(
             route=job.route.name,
             priority=job.priority,
             objective_s=job.route.objective_ms / _MS_PER_S,
@@ -141,8 +141,8 @@
                 progress.may_have_run = may_have_run_before
             if result.signals is not None:
                 state.note_signals(upstream, result.signals)
-            if move.is_asked and not isinstance(result, Answered):
-                self._note_attempt(upstream, "attempt_moved", str(move.why))
+            if move.is_requested and not isinstance(result, Answered):
+                self._note_attempt(upstream, "attempt_moved", str(move.reason))
                 return False
             self._note_result(upstream, result)
             if not isinstance(result, Answered):
@@ -168,7 +168,7 @@
 
     async def _note_broken_off(self, upstream: Upstream, move: Move) -> None:
         """Record a broken connection and check whether the upstream crashed."""
-        if move.why is MoveReason.SLOW_RANK:
+        if move.reason is MoveReason.SLOW_RANK:
             return
         self._state.crashes.note_broken_attempt(self._make_fingerprint, upstream)
         await self._state.check_for_crash(upstream.listed)
@@ -182,8 +182,8 @@
             return await self._relay(upstream, answered)
         except CutError as exc:
             await self._note_broken_off(upstream, move)
-            if move.is_asked:
-                self._note_attempt(upstream, "attempt_moved", str(move.why))
+            if move.is_requested:
+                self._note_attempt(upstream, "attempt_moved", str(move.reason))
             else:
                 self._state.upstreams.note_failure(upstream, self._clock(), is_unreachable=False)
                 self._note_attempt(upstream, "answer_broken", str(exc))
@@ -195,7 +195,7 @@
     def _is_movable(self) -> bool:
         """Return whether the current attempt may be followed by another whatever its result."""
         route = self._job.route
-        return route.is_repeatable and len(self._progress.tried) < route.max_tries
+        return route.is_repeatable and len(self._progress.tried) < route.max_attempts
 
     def _note_result(self, upstream: Upstream, result: AttemptResult) -> None:
         state, now_s = self._state, self._clock()
@@ -288,11 +288,11 @@
     def _take_retry(self, *, is_answered: bool = False) -> bool:
         """Return whether a retry is allowed; if so, take it from the retry budget."""
         job, progress = self._job, self._progress
-        if len(progress.tried) >= job.route.max_tries:
+        if len(progress.tried) >= job.route.max_attempts:
             return False
         if (progress.may_have_run or is_answered) and not job.route.is_repeatable:
             return False
-        if not self._state.crashes.may_try_again(self._make_fingerprint):
+        if not self._state.crashes.may_be_retried(self._make_fingerprint):
             return False
         if self._state.admission(job.service).is_broken():
             # Every rank of a broken group refuses requests, so a retry cannot succeed.
@@ -321,9 +321,15 @@
 
     def _note_attempt(self, upstream: Upstream, event: str, reason: str) -> None:
         load = upstream.load(self._clock())
-        rested_s = self._progress.rest_left_s
+        backoff_left_s = self._progress.backoff_left_s
         outcome.note_attempt(
-            self._state, self._job, upstream, event, reason, load=load, rest_left_s=rested_s
+            self._state,
+            self._job,
+            upstream,
+            event,
+            reason,
+            load=load,
+            backoff_left_s=backoff_left_s,
         )
 
 
--- a/dalehollow/gateway/limit_tokens.py
+++ b/dalehollow/gateway/limit_tokens.py
@@ -210,7 +210,7 @@
             self._send(TokenAsk(self._name, wanted), addresses[allocator])
         self._grant({})
 
-    def take_ask(self, request: TokenAsk, address: Address) -> None:
+    def handle_token_request(self, request: TokenAsk, address: Address) -> None:
         """Handle a token request for the upstreams that this gateway allocates."""
         self._addresses[request.sender] = address
         peers = self._list_peers()
@@ -224,7 +224,7 @@
         if acknowledged:
             self._grant({request.sender: acknowledged})
 
-    def take_grant(self, grant: TokenGrant) -> None:
+    def handle_token_grant(self, grant: TokenGrant) -> None:
         """Store granted tokens; a grant of 0 acknowledges a request while none is available."""
         expires_at_s = self._clock() + TOKEN_LIFE_S
         for incarnation, tokens in grant.tokens.items():
@@ -296,7 +296,7 @@
         for name, tokens_of in answers.items():
             self._send(TokenGrant(tokens_of), self._addresses[name])
         if own:
-            self.take_grant(TokenGrant(own))
+            self.handle_token_grant(TokenGrant(own))
 
 
 def _request_interval_s(peers: int) -> float:
--- a/dalehollow/gateway/outcome.py
+++ b/dalehollow/gateway/outcome.py
@@ -34,7 +34,7 @@
     # State of the last upstream when it was chosen: its load, the remainder of its backoff, and
     # whether it is in another hall.
     load: float = 0.0
-    rest_left_s: float = 0.0
+    backoff_left_s: float = 0.0
     is_far: bool = False
     first_piece_at_s: float = 0.0
     longest_pause_s: float = 0.0
@@ -67,7 +67,7 @@
     """Return the age of the configuration if it is the only reason for the refusal."""
     if refusal.status not in (HTTPStatus.UNAUTHORIZED, HTTPStatus.NOT_FOUND):
         return {}
-    age_s = asyncio.get_running_loop().time() - state.table_at_s
+    age_s = asyncio.get_running_loop().time() - state.table_applied_at_s
     return {"config_age_s": round(age_s, 3), **state.describe_store()}
 
 
@@ -166,7 +166,7 @@
     reason: str,
     *,
     load: float,
-    rest_left_s: float,
+    backoff_left_s: float,
 ) -> None:
     """Record an attempt without a complete answer."""
     state.metrics.count("attempts_failed", service=job.service, event=event)
@@ -177,7 +177,7 @@
         incarnation=upstream.listed.incarnation,
         reason=reason,
         load=round(load, 2),
-        rest_left_s=round(rest_left_s, 3),
+        rest_left_s=round(backoff_left_s, 3),
         config_version=job.table_version,
     )
 
--- a/dalehollow/gateway/planners.py
+++ b/dalehollow/gateway/planners.py
@@ -95,7 +95,7 @@
             policy=_make_plan_policy(settings),
             rng=self._state.rng,
             pass_times=self._state.pass_times_of(listed),
-            load=lambda: self._state.upstreams.load_of_group(key),
+            load=lambda: self._state.upstreams.group_load(key),
             pause_objective_s=lambda: self._state.pause_objective_s(service),
         )
 
--- a/dalehollow/gateway/process.py
+++ b/dalehollow/gateway/process.py
@@ -213,7 +213,7 @@
                 log_event(_LOG, "peer_port_taken", address=address, error=exc)
 
     def _take_table(self, table: RoutingTable) -> None:
-        self.state.take_table(table)
+        self.state.apply_table(table)
         if self.state.table is None:
             return
         for upstream in self.state.upstreams:
--- a/dalehollow/gateway/reports.py
+++ b/dalehollow/gateway/reports.py
@@ -26,7 +26,7 @@
 from dalehollow.gateway.listed import Member
 from dalehollow.gateway.members import Members
 from dalehollow.gateway.tasks import wait_set
-from dalehollow.gateway.upstream import TOLD_LIFE_S
+from dalehollow.gateway.upstream import REPORTED_LOAD_LIFE_S
 from dalehollow.gateway.upstreams import UpstreamSet
 from dalehollow.protocol.reports import (
     HallReport,
@@ -150,10 +150,10 @@
             self._take_hall_signals(message)
         elif isinstance(message, TokenAsk):
             if self.tokens is not None:
-                self.tokens.take_ask(message, addr[:2])
+                self.tokens.handle_token_request(message, addr[:2])
         elif isinstance(message, TokenGrant):
             if self.tokens is not None:
-                self.tokens.take_grant(message)
+                self.tokens.handle_token_grant(message)
         else:
             # A relay passes on at once what the store answered.
             self._feed.contact.note_answered()
@@ -224,9 +224,9 @@
         self._take_health(report.served_age_s, report.refused_age_s)
         now_s = asyncio.get_running_loop().time()
         for incarnation, (unknown, age_s) in report.unknown.items():
-            self._upstreams.note_unknown(incarnation, unknown, now_s - age_s)
+            self._upstreams.note_untracked(incarnation, unknown, now_s - age_s)
         self._take_limits(report.limits)
-        self._crashes.take_told(report.suspects)
+        self._crashes.merge_reported(report.suspects)
         self._feed.note_peer(report.sender)
         self._note_view(report.view, self._near.get(report.sender))
         if report.relay is not None:
@@ -254,7 +254,7 @@
         if signals.hall == self._hall:
             return
         self._take_limits(signals.limits)
-        self._crashes.take_told(signals.suspects)
+        self._crashes.merge_reported(signals.suspects)
         if not signals.is_passed_on:
             self.send_near(msgspec.structs.replace(signals, is_passed_on=True))
 
@@ -285,13 +285,16 @@
     def _take_limits(self, limits: Mapping[str, Limit]) -> None:
         now_s = asyncio.get_running_loop().time()
         for incarnation, limit in limits.items():
-            self._upstreams.note_limit_told(incarnation, limit.rate_per_s, now_s - limit.age_s)
+            self._upstreams.note_reported_limit(incarnation, limit.rate_per_s, now_s - limit.age_s)
 
     def _list_limits(self, now_s: float) -> dict[str, Limit]:
         """Return the limits of upstreams, and for a while that there is none any more."""
         limits = {}
         for upstream in self._upstreams:
-            rate_per_s, age_s = upstream.said.limit_per_s, now_s - upstream.said.limit_told_at_s
+            rate_per_s, age_s = (
+                upstream.reported_state.limit_per_s,
+                now_s - upstream.reported_state.limit_reported_at_s,
+            )
             if rate_per_s is not None or age_s < LIMIT_END_TOLD_S:
                 limits[upstream.listed.incarnation] = Limit(rate_per_s, round(age_s, 3))
         return limits
@@ -300,18 +303,18 @@
         if self._transport is None or not (self._near or self._far):
             return
         now_s = asyncio.get_running_loop().time()
-        in_hand = {u.listed.incarnation: u.in_hand for u in self._upstreams if u.in_hand}
+        in_hand = {u.listed.incarnation: u.in_flight for u in self._upstreams if u.in_flight}
         served = _list_ages(self._health.served_at_s, now_s)
         refused = _list_ages(self._health.refused_at_s, now_s)
         relay = self._feed.relay_state()
         unknown = {
-            u.listed.incarnation: (u.unknown, round(now_s - u.unknown_at_s, 3))
+            u.listed.incarnation: (u.untracked, round(now_s - u.untracked_at_s, 3))
             for u in self._upstreams
-            if now_s - u.unknown_at_s < TOLD_LIFE_S
+            if now_s - u.untracked_at_s < REPORTED_LOAD_LIFE_S
         }
         view = self._feed.view()
         limits = self._list_limits(now_s)
-        suspects = self._crashes.tell()
+        suspects = self._crashes.export_suspicions()
         report = LoadReport(
             self._name, in_hand, served, refused, unknown, relay, view, limits, suspects
         )
@@ -360,7 +363,7 @@
             change = in_hand.get(incarnation, 0)
             if before is not None:
                 change -= before.in_hand.get(incarnation, 0)
-            self._upstreams.add_others(incarnation, change)
+            self._upstreams.adjust_others(incarnation, change)
 
     def _forget(self, reports: dict[str, _Reported], name: str) -> None:
         if name in reports:
--- a/dalehollow/gateway/retries.py
+++ b/dalehollow/gateway/retries.py
@@ -26,15 +26,15 @@
     extra: float
     started_at_s: float = float("-inf")
     rounding_offset: float = 0.0
-    _firsts: deque[float] = field(default_factory=deque)
+    _first_attempts: deque[float] = field(default_factory=deque)
     _retries: deque[float] = field(default_factory=deque)
 
     def count_first_attempt(self, now_s: float) -> None:
         """Count a first attempt."""
-        self._firsts.append(now_s)
+        self._first_attempts.append(now_s)
         self._expire(now_s)
 
-    def take_repeat(self, now_s: float) -> bool:
+    def try_take(self, now_s: float) -> bool:
         """Count a retry if the budget allows one."""
         if self.count_available(now_s) < 1:
             return False
@@ -60,14 +60,14 @@
         """Return the counts and limits that decide whether the next retry is allowed."""
         room = self.count_available(now_s)
         return {
-            "first_tries": len(self._firsts),
+            "first_tries": len(self._first_attempts),
             "retries": len(self._retries),
             "room": room,
             "extra": round(self.extra, 2),
         }
 
     def _count_allowed(self, now_s: float) -> float:
-        proportional = self.share * len(self._firsts)
+        proportional = self.share * len(self._first_attempts)
         age_s = now_s - self.started_at_s
         if age_s >= self.window_s:
             return proportional + self.extra
@@ -75,6 +75,6 @@
 
     def _expire(self, now_s: float) -> None:
         oldest_s = now_s - self.window_s
-        for times in (self._firsts, self._retries):
+        for times in (self._first_attempts, self._retries):
             while times and times[0] <= oldest_s:
                 times.popleft()
--- a/dalehollow/gateway/state.py
+++ b/dalehollow/gateway/state.py
@@ -70,7 +70,7 @@
     health: GroupHealth = field(default_factory=GroupHealth)
     metrics: Metrics = field(default_factory=Metrics)
     table: RoutingTable | None = None
-    table_at_s: float = 0.0
+    table_applied_at_s: float = 0.0
     admissions: dict[str, Admission] = field(default_factory=dict)
     pass_times: dict[str, PassTimes] = field(default_factory=dict)
     on_change: Callable[[], None] = _do_nothing
@@ -80,13 +80,13 @@
     _max_gateways: int = 1
     _crash_checks: set[asyncio.Task[None]] = field(default_factory=set)
 
-    def take_table(self, table: RoutingTable) -> None:
+    def apply_table(self, table: RoutingTable) -> None:
         """Apply a configuration unless its version is already applied or older."""
         before = self.table.version if self.table is not None else 0
         if table.version <= before:
             return
         self.table = table
-        self.table_at_s = asyncio.get_running_loop().time()
+        self.table_applied_at_s = asyncio.get_running_loop().time()
         log_event(
             _LOG,
             "config_in_force",
@@ -118,7 +118,7 @@
         """Take a retry from the budget of a service; return the time, or None if none is left."""
         window, now_s = self.retry_window(service), asyncio.get_running_loop().time()
         budget = window.describe(now_s)
-        is_allowed = window.take_repeat(now_s)
+        is_allowed = window.try_take(now_s)
         self.metrics.count("retries", service=service, allowed=str(is_allowed).lower())
         log_event(
             _LOG,
@@ -192,15 +192,15 @@
             text = value.decode("latin-1")
             log_event(_LOG, "signal_unusable", incarnation=incarnation, value=text)
         if signals.is_leaving and not upstream.is_leaving():
-            upstream.said.is_leaving = True
+            upstream.reported_state.is_leaving = True
             log_event(_LOG, "upstream_leaving", incarnation=incarnation, by="answer")
             self.grant_all()
-        has_limit = upstream.said.limit_per_s is not None
+        has_limit = upstream.reported_state.limit_per_s is not None
         if (has_limit or signals.limit_per_s is not None) and not signals.is_limit_unusable:
             self.upstreams.note_limit(upstream, signals.limit_per_s, loop.time())
             self.on_change()
         if signals.backoff_s:
-            upstream.note_rest(signals.backoff_s, loop.time())
+            upstream.start_backoff(signals.backoff_s, loop.time())
             log_event(_LOG, "upstream_rests", incarnation=incarnation, for_s=signals.backoff_s)
             self.grant_all()
             loop.call_later(signals.backoff_s, self.grant_all)
@@ -227,13 +227,13 @@
         A request without a retry in the budget would be cut off, so only half of the budget is
         used.
         """
-        moves = [m for m in self.upstreams.list_moves(group_key) if not m.is_asked]
+        moves = [m for m in self.upstreams.list_moves(group_key) if not m.is_requested]
         window = self.retry_window(read_service(group_key))
         room = window.count_available(asyncio.get_running_loop().time()) // 2
         if moves:
             log_event(_LOG, "requests_moved", group=group_key, count=len(moves[:room]), room=room)
         for move in moves[:room]:
-            move.ask(MoveReason.SLOW_RANK)
+            move.request(MoveReason.SLOW_RANK)
 
     def grant_all(self) -> None:
         """Grant free slots to waiting requests after upstreams have changed."""
--- a/dalehollow/gateway/status.py
+++ b/dalehollow/gateway/status.py
@@ -40,13 +40,15 @@
     state, metrics = sources.state, sources.state.metrics
     loop = asyncio.get_running_loop()
     metrics.watch_gauge("config_version", lambda: state.table.version if state.table else 0)
-    metrics.watch_gauge("config_age_seconds", lambda: round(loop.time() - state.table_at_s, 3))
+    metrics.watch_gauge(
+        "config_age_seconds", lambda: round(loop.time() - state.table_applied_at_s, 3)
+    )
     metrics.watch_gauge("store_heard_age_seconds", lambda: round(sources.store_age_s(), 3))
     metrics.watch_gauge("store_calls", sources.store_calls)
     metrics.watch_gauge("is_ready", lambda: int(sources.is_ready()))
     metrics.watch_gauge("gateways_listed", lambda: len(sources.members))
     metrics.watch_gauge("upstreams_listed", lambda: sum(1 for _ in state.upstreams))
-    metrics.watch_gauge("in_hand", lambda: sum(u.in_hand for u in state.upstreams))
+    metrics.watch_gauge("in_hand", lambda: sum(u.in_flight for u in state.upstreams))
     metrics.watch_gauge("upstreams_resting", lambda: _count_resting(state, loop.time()))
     metrics.watch_gauge("upstreams_limited", lambda: _count_limited(state))
     metrics.watch_gauge("requests_suspected", lambda: len(state.crashes.describe()))
@@ -73,7 +75,7 @@
             service: {
                 "is_group_broken": admission.is_broken(),
                 "waiting": len(admission.waiting),
-                "load": round(state.upstreams.load_of(service, now_s), 3),
+                "load": round(state.upstreams.service_load(service, now_s), 3),
             }
             for service, admission in state.admissions.items()
         },
@@ -87,11 +89,11 @@
                 "service": u.listed.service,
                 "address": u.listed.address,
                 "is_leaving": u.is_leaving(),
-                "in_hand": u.in_hand,
-                "others_in_hand": u.others_in_hand,
+                "in_hand": u.in_flight,
+                "others_in_hand": u.others_in_flight,
                 "is_ejected": u.ejected_until_s > now_s,
-                "rest_left_s": round(u.rest_left_s(now_s), 3),
-                "limit_per_s": u.said.limit_per_s,
+                "rest_left_s": round(u.backoff_left_s(now_s), 3),
+                "limit_per_s": u.reported_state.limit_per_s,
             }
             for u in state.upstreams
         },
@@ -99,11 +101,11 @@
 
 
 def _count_resting(state: GatewayState, now_s: float) -> int:
-    return sum(1 for u in state.upstreams if u.rest_left_s(now_s))
+    return sum(1 for u in state.upstreams if u.backoff_left_s(now_s))
 
 
 def _count_limited(state: GatewayState) -> int:
-    return sum(1 for u in state.upstreams if u.said.limit_per_s is not None)
+    return sum(1 for u in state.upstreams if u.reported_state.limit_per_s is not None)
 
 
 def make_status_handler(sources: StatusSources) -> Handler:
--- a/dalehollow/gateway/table.py
+++ b/dalehollow/gateway/table.py
@@ -35,7 +35,7 @@
     timeout_ms: int
     objective_ms: int
     pause_objective_ms: int
-    max_tries: int
+    max_attempts: int
     priority: int
     is_public: bool
     is_resumable: bool
@@ -73,16 +73,16 @@
     step_ms: float
     per_request_ms: float
     per_1k_context_ms: float
-    read_tokens_per_s: float
+    prefill_tokens_per_s: float
     steps_per_pass: int
-    usual_prompt_tokens: int
-    usual_answer_tokens: int
+    typical_prompt_tokens: int
+    typical_answer_tokens: int
     form_ms: float
     experts: ExpertFigures | None = None
 
     def pass_ms(self, batch: float) -> float:
         """Return the duration of a forward pass with `batch` requests on each rank."""
-        context_k = (self.usual_prompt_tokens + self.usual_answer_tokens / 2) / 1000
+        context_k = (self.typical_prompt_tokens + self.typical_answer_tokens / 2) / 1000
         per_request_ms = self.per_request_ms + self.per_1k_context_ms * context_k
         return self.steps_per_pass * (self.step_ms + per_request_ms * batch)
 
--- a/dalehollow/gateway/upstream.py
+++ b/dalehollow/gateway/upstream.py
@@ -17,7 +17,7 @@
 MIN_SAMPLES = 4
 """An upstream is ejected when more than half of its recent answers failed. Plain services fail up
 to one seventh of their requests in normal operation, which is far below this."""
-TOLD_LIFE_S = 2.0
+REPORTED_LOAD_LIFE_S = 2.0
 """Validity of the load reported in an answer, about the duration of a stream."""
 
 
@@ -33,16 +33,16 @@
     """Hold an attempt that can move to another upstream, and the reason once it is told to."""
 
     connection: ClientConnection | None = None
-    why: MoveReason | None = None
+    reason: MoveReason | None = None
 
     @property
-    def is_asked(self) -> bool:
+    def is_requested(self) -> bool:
         """Return whether the attempt was told to move."""
-        return self.why is not None
+        return self.reason is not None
 
-    def ask(self, why: MoveReason) -> None:
+    def request(self, reason: MoveReason) -> None:
         """Abort the attempt; the request resumes at another upstream."""
-        self.why = why
+        self.reason = reason
         if self.connection is not None:
             self.connection.abort()
 
@@ -53,12 +53,12 @@
 
     started_at_ms: int
     # End of the backoff requested from this gateway.
-    rests_until_s: float = float("-inf")
+    backoff_until_s: float = float("-inf")
     is_leaving: bool = False
     # Limit of requests per second from all gateways together, None for no limit, and the time of
     # the latest answer to any gateway that reported it.
     limit_per_s: float | None = None
-    limit_told_at_s: float = float("-inf")
+    limit_reported_at_s: float = float("-inf")
 
 
 @dataclass
@@ -66,11 +66,11 @@
     """Hold the state of one upstream as seen by this gateway."""
 
     listed: ListedUpstream
-    said: ReportedState
-    in_hand: int = 0
-    others_in_hand: int = 0
-    unknown: int = 0
-    unknown_at_s: float = float("-inf")
+    reported_state: ReportedState
+    in_flight: int = 0
+    others_in_flight: int = 0
+    untracked: int = 0
+    untracked_at_s: float = float("-inf")
     ejected_until_s: float = 0.0
     # Attempts in flight that can move to another upstream.
     moves: set[Move] = field(default_factory=set)
@@ -83,43 +83,45 @@
 
         This is not overridden when no other upstream is available.
         """
-        return not self.is_leaving() and not self.rest_left_s(now_s)
+        return not self.is_leaving() and not self.backoff_left_s(now_s)
 
     def is_leaving(self) -> bool:
         """Return whether the list or one of its answers announced that the upstream is leaving.
 
         Neither source overrides the other, because an answer often precedes the list.
         """
-        return self.listed.is_leaving or self.said.is_leaving
+        return self.listed.is_leaving or self.reported_state.is_leaving
 
     def load(self, now_s: float) -> float:
         """Return the number of known and reported requests in flight per slot."""
-        unknown = self.unknown if now_s - self.unknown_at_s < TOLD_LIFE_S else 0
-        return (self.known_in_hand() + unknown) / max(1, self.listed.slots)
+        untracked = self.untracked if now_s - self.untracked_at_s < REPORTED_LOAD_LIFE_S else 0
+        return (self.known_in_flight() + untracked) / max(1, self.listed.slots)
 
-    def known_in_hand(self) -> int:
+    def known_in_flight(self) -> int:
         """Return the number of requests in flight from this and the other gateways."""
-        return self.in_hand + max(0, self.others_in_hand)
+        return self.in_flight + max(0, self.others_in_flight)
 
     def note_reported_load(self, reported: int, now_s: float) -> None:
         """Record the load reported in an answer.
 
         Requests that no gateway knows of were left behind by a gateway that was lost.
         """
-        self.note_unknown(max(0, reported - self.known_in_hand()), now_s)
+        self.note_untracked(max(0, reported - self.known_in_flight()), now_s)
 
-    def note_unknown(self, unknown: int, at_s: float) -> None:
+    def note_untracked(self, untracked: int, at_s: float) -> None:
         """Record the number of requests that no gateway knows of, unless a newer one is known."""
-        if at_s > self.unknown_at_s:
-            self.unknown, self.unknown_at_s = unknown, at_s
+        if at_s > self.untracked_at_s:
+            self.untracked, self.untracked_at_s = untracked, at_s
 
-    def note_rest(self, rest_s: float, now_s: float) -> None:
+    def start_backoff(self, backoff_s: float, now_s: float) -> None:
         """Send no requests for the backoff that the upstream requested."""
-        self.said.rests_until_s = max(self.said.rests_until_s, now_s + rest_s)
+        self.reported_state.backoff_until_s = max(
+            self.reported_state.backoff_until_s, now_s + backoff_s
+        )
 
-    def rest_left_s(self, now_s: float) -> float:
+    def backoff_left_s(self, now_s: float) -> float:
         """Return the remaining backoff, 0 if there is none."""
-        return max(0.0, self.said.rests_until_s - now_s)
+        return max(0.0, self.reported_state.backoff_until_s - now_s)
 
     def note_answer(self, *, failed: bool) -> None:
         """Record an answer, or a failure to answer, in the failure rate."""
--- a/dalehollow/gateway/upstreams.py
+++ b/dalehollow/gateway/upstreams.py
@@ -40,7 +40,7 @@
     _by_group: dict[str, dict[str, Upstream]] = field(default_factory=dict)
     _slow_ranks: dict[str, frozenset[int]] = field(default_factory=dict)
     # Includes upstreams that are not listed yet, because reports may arrive before the list.
-    _others_in_hand: Counter[str] = field(default_factory=Counter)
+    _others_in_flight: Counter[str] = field(default_factory=Counter)
     _reported_states: dict[str, ReportedState] = field(default_factory=dict)
 
     def __iter__(self) -> Iterator[Upstream]:
@@ -58,9 +58,9 @@
             self._remove_previous_run(known)
             known = None
         if known is None:
-            others_in_hand = self._others_in_hand[listed.incarnation]
+            others_in_flight = self._others_in_flight[listed.incarnation]
             known = Upstream(
-                listed, self._find_reported_state(listed), others_in_hand=others_in_hand
+                listed, self._find_reported_state(listed), others_in_flight=others_in_flight
             )
             self._forward_limit(known)
             self._known[listed.incarnation] = known
@@ -86,35 +86,40 @@
 
     def _find_reported_state(self, listed: ListedUpstream) -> ReportedState:
         """Return the state that this run of an upstream reported, also before its entry expired."""
-        said = self._reported_states.get(listed.incarnation)
-        if said is None or said.started_at_ms != listed.started_at_ms:
-            said = self._reported_states[listed.incarnation] = ReportedState(listed.started_at_ms)
-        return said
+        state = self._reported_states.get(listed.incarnation)
+        if state is None or state.started_at_ms != listed.started_at_ms:
+            state = self._reported_states[listed.incarnation] = ReportedState(listed.started_at_ms)
+        return state
 
     def note_limit(self, upstream: Upstream, limit_per_s: float | None, at_s: float) -> None:
         """Record the rate limit set by an answer, None if the answer sets none."""
-        said = upstream.said
-        if limit_per_s != said.limit_per_s:
+        state = upstream.reported_state
+        if limit_per_s != state.limit_per_s:
             incarnation = upstream.listed.incarnation
             log_event(_LOG, "upstream_limit", incarnation=incarnation, limit_per_s=limit_per_s)
-            said.limit_per_s = limit_per_s
+            state.limit_per_s = limit_per_s
             self._forward_limit(upstream)
-        said.limit_told_at_s = at_s
+        state.limit_reported_at_s = at_s
 
-    def note_limit_told(self, incarnation: str, limit_per_s: float | None, at_s: float) -> None:
+    def note_reported_limit(self, incarnation: str, limit_per_s: float | None, at_s: float) -> None:
         """Record a rate limit reported by another gateway if it is newer than the known one.
 
         The reported age does not include the transit time, so the limit must be newer by more
         than that.
         """
         known = self._known.get(incarnation)
-        if known is not None and at_s > known.said.limit_told_at_s + MAX_REPORT_TRANSIT_S:
+        if (
+            known is not None
+            and at_s > known.reported_state.limit_reported_at_s + MAX_REPORT_TRANSIT_S
+        ):
             self.note_limit(known, limit_per_s, at_s)
 
     def _forward_limit(self, upstream: Upstream) -> None:
         if self.tokens is not None:
             listed = upstream.listed
-            self.tokens.note_limit(listed.incarnation, listed.hall, upstream.said.limit_per_s)
+            self.tokens.note_limit(
+                listed.incarnation, listed.hall, upstream.reported_state.limit_per_s
+            )
 
     def _remove_previous_run(self, upstream: Upstream) -> None:
         """Remove the previous run of a restarted upstream, whose requests will get no answer."""
@@ -122,12 +127,12 @@
             _LOG,
             "upstream_restarted",
             incarnation=upstream.listed.incarnation,
-            in_hand=upstream.in_hand,
+            in_hand=upstream.in_flight,
             moved=len(upstream.moves),
         )
         self.remove(upstream.listed.incarnation)
         for move in upstream.moves:
-            move.ask(MoveReason.RESTARTED)
+            move.request(MoveReason.RESTARTED)
 
     def find(self, incarnation: str) -> ListedUpstream | None:
         """Return the latest list entry of an upstream."""
@@ -164,11 +169,11 @@
         """Return the keys of the rank groups of a service."""
         return {u.listed.group_key for u in self.of_service(service)}
 
-    def note_unknown(self, incarnation: str, unknown: int, at_s: float) -> None:
+    def note_untracked(self, incarnation: str, untracked: int, at_s: float) -> None:
         """Record the number of requests that no gateway knows of, as another gateway found it."""
         known = self._known.get(incarnation)
         if known is not None:
-            known.note_unknown(unknown, at_s)
+            known.note_untracked(untracked, at_s)
 
     def note_slow_ranks(self, group_key: str, ranks: Collection[int]) -> None:
         """Record which ranks of a group are slow for reasons other than their load."""
@@ -182,31 +187,31 @@
         upstreams = self._by_group.get(group_key, {}).values()
         return [m for u in upstreams if u.listed.group_rank in slow for m in u.moves]
 
-    def add_others(self, incarnation: str, change: int) -> None:
+    def adjust_others(self, incarnation: str, change: int) -> None:
         """Adjust the number of requests that other gateways have in flight at an upstream."""
-        self._others_in_hand[incarnation] += change
-        if not self._others_in_hand[incarnation]:
-            del self._others_in_hand[incarnation]
+        self._others_in_flight[incarnation] += change
+        if not self._others_in_flight[incarnation]:
+            del self._others_in_flight[incarnation]
         known = self._known.get(incarnation)
         if known is not None:
-            known.others_in_hand += change
+            known.others_in_flight += change
 
-    def rest_left_s(self, service: str, now_s: float) -> float:
+    def backoff_left_s(self, service: str, now_s: float) -> float:
         """Return the shortest remaining backoff of a service's upstreams, 0 if one has none."""
-        return min((u.rest_left_s(now_s) for u in self.of_service(service)), default=0.0)
+        return min((u.backoff_left_s(now_s) for u in self.of_service(service)), default=0.0)
 
-    def load_of(self, service: str, now_s: float) -> float:
+    def service_load(self, service: str, now_s: float) -> float:
         """Return the share of occupied slots at upstreams that accept requests."""
         return _occupied_share([u for u in self.of_service(service) if u.takes_requests(now_s)])
 
-    def load_of_group(self, group_key: str) -> float:
+    def group_load(self, group_key: str) -> float:
         """Return the share of occupied slots of a group."""
         return _occupied_share(self.of_group(group_key))
 
     def mean_batch(self, group_key: str) -> float:
         """Return the mean number of requests in flight per rank of a group."""
         upstreams = self.of_group(group_key)
-        return sum(u.known_in_hand() for u in upstreams) / max(1, len(upstreams))
+        return sum(u.known_in_flight() for u in upstreams) / max(1, len(upstreams))
 
     def list_candidates(
         self,
@@ -258,9 +263,9 @@
             free.remove(best)
         return None
 
-    def take(self, upstream: Upstream) -> None:
+    def acquire(self, upstream: Upstream) -> None:
         """Count a request to an upstream as in flight and consume a token."""
-        upstream.in_hand += 1
+        upstream.in_flight += 1
         if self.tokens is not None:
             self.tokens.spend(upstream.listed.incarnation)
 
@@ -293,7 +298,7 @@
         if not (is_unreachable or upstream.is_failing()):
             return
         peers = self.of_service(upstream.listed.service)
-        ejected = sum(1 for u in peers if u.ejected_until_s > now_s or u.rest_left_s(now_s))
+        ejected = sum(1 for u in peers if u.ejected_until_s > now_s or u.backoff_left_s(now_s))
         if not is_unreachable and ejected + 1 > MAX_EJECTED_SHARE * len(peers):
             return
         upstream.eject(now_s)
@@ -310,4 +315,4 @@
 
 def _occupied_share(upstreams: Collection[Upstream]) -> float:
     slots = sum(u.listed.slots for u in upstreams)
-    return sum(u.known_in_hand() for u in upstreams) / max(1, slots)
+    return sum(u.known_in_flight() for u in upstreams) / max(1, slots)
--- a/soak/defects.py
+++ b/soak/defects.py
@@ -41,7 +41,7 @@
 
 def _go_back_a_version() -> None:
     """Put the configuration before in force again, a moment after each new one."""
-    take = GatewayState.take_table
+    take = GatewayState.apply_table
 
     def take_and_go_back(state: GatewayState, new: Any) -> None:
         before = state.table
@@ -49,7 +49,7 @@
         loop = asyncio.get_running_loop()
         loop.call_later(GO_BACK_S, lambda: setattr(state, "table", before or new))
 
-    GatewayState.take_table = take_and_go_back  # type: ignore[method-assign]
+    GatewayState.apply_table = take_and_go_back  # type: ignore[method-assign]
 
 
 def _read_history_in_a_hurry() -> None:
@@ -83,7 +83,7 @@
 def _forget_crashes() -> None:
     """Take each coming of a request for a new one."""
     CrashWatch.check_request = lambda *args: 0.0  # type: ignore[method-assign]
-    CrashWatch.may_try_again = lambda *args: True  # type: ignore[method-assign]
+    CrashWatch.may_be_retried = lambda *args: True  # type: ignore[method-assign]
 
 
 def _allocate_to_oneself() -> None:
@@ -94,7 +94,7 @@
 def _start_with_full_budget() -> None:
     """Give each gateway process its full retry budget at startup."""
     RetryWindow._count_allowed = (  # type: ignore[method-assign]
-        lambda window, now_s: window.share * len(window._firsts) + window.extra
+        lambda window, now_s: window.share * len(window._first_attempts) + window.extra
     )
 
 
--- a/tests/limit_world.py
+++ b/tests/limit_world.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from dalehollow.gateway.admission import NoPlace, Turn
+from dalehollow.gateway.admission import AdmissionRefusal, AdmissionRequest
 from dalehollow.gateway.copies import StoreCopies
 from dalehollow.gateway.crashes import CrashWatch
 from dalehollow.gateway.feed import HallFeed
@@ -103,7 +103,7 @@
             asyncio.ensure_future(self.tokens.run()),
         ]
 
-    async def ask_often(self, rate_per_s: float) -> None:
+    async def send_requests(self, rate_per_s: float) -> None:
         """Send requests at random times; never returns."""
         while True:
             await asyncio.sleep(self.world.rng.expovariate(rate_per_s))
@@ -112,12 +112,12 @@
     async def send_request(self) -> None:
         """Process one request of a caller."""
         admission = self.state.admission(SERVICE)
-        place = await admission.take(Turn("read", 5, 0.4, 8.0, 8.0), ())
-        if isinstance(place, NoPlace):
+        granted = await admission.acquire(AdmissionRequest("read", 5, 0.4, 8.0, 8.0), ())
+        if isinstance(granted, AdmissionRefusal):
             self.refused += 1
             return
         loop = asyncio.get_running_loop()
-        incarnation = place.listed.incarnation
+        incarnation = granted.listed.incarnation
         server = self.world.servers[incarnation]
         await asyncio.sleep(TRANSIT_S)
         never_s = float("inf")
@@ -130,8 +130,8 @@
         await asyncio.sleep(TRANSIT_S)
         if limit_per_s is not None:
             self.learned_at_s.setdefault(incarnation, loop.time())
-        self.state.note_signals(place, Signals(limit_per_s=limit_per_s))
-        admission.release(place)
+        self.state.note_signals(granted, Signals(limit_per_s=limit_per_s))
+        admission.release(granted)
         self.served += 1
 
 
@@ -160,11 +160,11 @@
                     other.name, Member(f"{other.name}:{other.port}", other.hall)
                 )
 
-    def ask_often(self, rate_per_s: float, names: Sequence[str] = ()) -> None:
+    def send_requests(self, rate_per_s: float, names: Sequence[str] = ()) -> None:
         """Send requests to the given gateways, or to all of them."""
         for name in names or list(self.gateways):
             gateway = self.gateways[name]
-            gateway.tasks.append(asyncio.ensure_future(gateway.ask_often(rate_per_s)))
+            gateway.tasks.append(asyncio.ensure_future(gateway.send_requests(rate_per_s)))
 
     def deliver(self, sender: str, data: bytes, address: tuple[str, int]) -> None:
         """Deliver a datagram from one gateway to another."""
--- a/tests/retry_fleet.py
+++ b/tests/retry_fleet.py
@@ -179,7 +179,7 @@
             return
         window = self._states[number].retry_window(SERVICE)
         window.count_first_attempt(accepted_s)
-        if self._fails(accepted_s) and window.take_repeat(accepted_s):
+        if self._fails(accepted_s) and window.try_take(accepted_s):
             self._result.retries_s.append(accepted_s)
 
     def _choose_gateway(self, at_s: float) -> int:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,7 +9,7 @@
 import pytest
 
 from dalehollow.gateway import admission as admission_module
-from dalehollow.gateway.admission import Admission, NoPlace, Turn
+from dalehollow.gateway.admission import Admission, AdmissionRefusal, AdmissionRequest
 from dalehollow.gateway.health import GroupHealth
 from dalehollow.gateway.listed import ListedUpstream
 from dalehollow.gateway.upstream import Upstream
@@ -18,9 +18,11 @@
 SLOTS = 2
 
 
-def _turn(*, priority: int = 5, time_left_s: float = 8.0, objective_s: float = 40.0) -> Turn:
+def _make_request(
+    *, priority: int = 5, time_left_s: float = 8.0, objective_s: float = 40.0
+) -> AdmissionRequest:
     # The objective is long enough that no wait times out during a test.
-    return Turn("talk", priority, objective_s, time_left_s, time_left_s)
+    return AdmissionRequest("talk", priority, objective_s, time_left_s, time_left_s)
 
 
 class _AdmissionBench:
@@ -38,11 +40,11 @@
             "desk", self.upstreams, self.health, rng, clock=lambda: self.now_s
         )
 
-    async def take(self, **changes: object) -> Upstream | NoPlace:
-        return await self.admission.take(_turn(**changes), ())  # type: ignore[arg-type]
+    async def acquire(self, **changes: object) -> Upstream | AdmissionRefusal:
+        return await self.admission.acquire(_make_request(**changes), ())  # type: ignore[arg-type]
 
-    async def wait(self, **changes: object) -> asyncio.Task[Upstream | NoPlace]:
-        task = asyncio.ensure_future(self.take(**changes))
+    async def wait(self, **changes: object) -> asyncio.Task[Upstream | AdmissionRefusal]:
+        task = asyncio.ensure_future(self.acquire(**changes))
         await asyncio.sleep(0)
         return task
 
@@ -57,8 +59,8 @@
 
 def test_slots_limit_requests_in_flight() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
-        taken = [await bench.take() for _ in range(2 * SLOTS)]
-        loads = [u.in_hand for u in bench.upstreams]
+        taken = [await bench.acquire() for _ in range(2 * SLOTS)]
+        loads = [u.in_flight for u in bench.upstreams]
         assert loads == [SLOTS, SLOTS]
         assert all(isinstance(u, Upstream) for u in taken)
         waiting = await bench.wait()
@@ -70,10 +72,10 @@
 
 def test_requests_of_other_gateways_occupy_slots() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
-        bench.upstreams.add_others("u0", SLOTS)
+        bench.upstreams.adjust_others("u0", SLOTS)
         waiting = await bench.wait()
         assert not waiting.done()
-        bench.upstreams.add_others("u0", -1)
+        bench.upstreams.adjust_others("u0", -1)
         bench.admission.grant()
         assert isinstance(await waiting, Upstream)
 
@@ -93,7 +95,7 @@
 
 def test_urgent_requests_and_client_retries_go_first() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
-        all_acquired = [await bench.take() for _ in range(SLOTS)]
+        all_acquired = [await bench.acquire() for _ in range(SLOTS)]
         ordinary = await bench.wait(priority=9)
         urgent = await bench.wait(priority=0)
         returned = await bench.wait(priority=9, time_left_s=4.0)
@@ -113,21 +115,21 @@
 
 def test_a_caller_that_disconnects_leaves_the_queue() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
-        all_acquired = [await bench.take() for _ in range(SLOTS)]
+        all_acquired = [await bench.acquire() for _ in range(SLOTS)]
         waiting = await bench.wait()
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
         assert bench.admission.waiting == []
         assert isinstance(all_acquired[0], Upstream)
         bench.admission.release(all_acquired[0])
-        assert sum(u.in_hand for u in bench.upstreams) == SLOTS - 1
+        assert sum(u.in_flight for u in bench.upstreams) == SLOTS - 1
 
     _run(scenario)
 
 
 def test_a_slot_released_while_a_caller_disconnects_is_not_lost() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
-        all_acquired = [await bench.take() for _ in range(SLOTS)]
+        all_acquired = [await bench.acquire() for _ in range(SLOTS)]
         leaving, staying = await bench.wait(), await bench.wait()
         leaving.cancel()
         acquired = all_acquired[0]
@@ -136,7 +138,7 @@
         bench.admission.release(acquired)
         assert isinstance(await staying, Upstream)
         await asyncio.gather(leaving, return_exceptions=True)
-        assert sum(u.in_hand for u in bench.upstreams) == SLOTS
+        assert sum(u.in_flight for u in bench.upstreams) == SLOTS
 
     _run(scenario)
 
@@ -144,9 +146,9 @@
 def test_a_request_with_too_long_an_expected_wait_is_refused_immediately() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
         for _ in range(SLOTS):
-            await bench.take()
-        refused = await bench.take(objective_s=0.001)
-        assert isinstance(refused, NoPlace)
+            await bench.acquire()
+        refused = await bench.acquire(objective_s=0.001)
+        assert isinstance(refused, AdmissionRefusal)
         assert 0 < refused.retry_after_s <= 8.0 / 3
 
     _run(scenario)
@@ -155,9 +157,9 @@
 def test_retry_after_times_are_spread() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
         for _ in range(SLOTS):
-            await bench.take()
-        times = [await bench.take(objective_s=0.001) for _ in range(5)]
-        afters = [t.retry_after_s for t in times if isinstance(t, NoPlace)]
+            await bench.acquire()
+        times = [await bench.acquire(objective_s=0.001) for _ in range(5)]
+        afters = [t.retry_after_s for t in times if isinstance(t, AdmissionRefusal)]
         assert len(set(afters)) == 5
 
     _run(scenario)
@@ -166,15 +168,15 @@
 def test_a_broken_group_is_probed_and_refuses_the_rest() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
         bench.health.note_refused("desk", bench.now_s)
-        probe, refused = await bench.take(), await bench.take()
+        probe, refused = await bench.acquire(), await bench.acquire()
         assert isinstance(probe, Upstream)
-        assert isinstance(refused, NoPlace)
+        assert isinstance(refused, AdmissionRefusal)
         assert refused.reason == "group_broken"
         assert refused.retry_after_s == pytest.approx(
             8.0 * admission_module.RETRY_AFTER_TIME_LEFT_SHARE
         )
         bench.health.note_served("desk", bench.now_s + 0.1)
-        assert isinstance(await bench.take(), Upstream)
+        assert isinstance(await bench.acquire(), Upstream)
 
     _run(scenario)
 
@@ -184,16 +186,16 @@
 
     async def scenario(bench: _AdmissionBench) -> None:
         for _ in range(SLOTS):
-            await bench.take()
-        turn = _turn(objective_s=0.02)
+            await bench.acquire()
+        request = _make_request(objective_s=0.02)
         bench.admission._completion_interval_s = 0.001
         bench.admission.note_answer_latency(0.03)
-        assert bench.admission._max_wait_s(turn, False) == 0.0
-        refused = await bench.take(objective_s=0.02)
-        assert isinstance(refused, NoPlace) and refused.reason == "no_place_in_time"
+        assert bench.admission._max_wait_s(request, False) == 0.0
+        refused = await bench.acquire(objective_s=0.02)
+        assert isinstance(refused, AdmissionRefusal) and refused.reason == "no_place_in_time"
         for _ in range(100):
             bench.admission.note_answer_latency(0.005)
-        assert bench.admission._max_wait_s(turn, False) == pytest.approx(0.015, abs=0.001)
+        assert bench.admission._max_wait_s(request, False) == pytest.approx(0.015, abs=0.001)
 
     _run(scenario)
 
@@ -201,17 +203,17 @@
 def test_waiting_requests_are_refused_once_all_upstreams_are_in_backoff() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
         for _ in range(2 * SLOTS):
-            await bench.take()
+            await bench.acquire()
         waiting = [await bench.wait() for _ in range(3)]
         first, second = bench.upstreams
-        first.note_rest(3.0, bench.now_s)
+        first.start_backoff(3.0, bench.now_s)
         bench.admission.grant()
         assert len(bench.admission.waiting) == 3
-        second.note_rest(1.0, bench.now_s)
+        second.start_backoff(1.0, bench.now_s)
         bench.admission.grant()
         for task in waiting:
             refused = await task
-            assert isinstance(refused, NoPlace)
+            assert isinstance(refused, AdmissionRefusal)
             assert refused.reason == "all_resting"
             # `Retry-After` covers the backoff that ends first and differs between callers.
             assert refused.retry_after_s >= 1.0
@@ -222,8 +224,8 @@
 
 def test_a_request_that_has_tried_all_upstreams_is_refused_immediately() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
-        refused = await bench.admission.take(_turn(), ("u0", "u1"))
-        assert isinstance(refused, NoPlace)
+        refused = await bench.admission.acquire(_make_request(), ("u0", "u1"))
+        assert isinstance(refused, AdmissionRefusal)
         assert refused.reason == "all_tried"
 
     _run(scenario, upstreams=2)
@@ -231,8 +233,8 @@
 
 def test_a_waiting_retry_does_not_block_first_attempts() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
-        all_acquired = [await bench.take() for _ in range(2 * SLOTS)]
-        again = asyncio.ensure_future(bench.admission.take(_turn(priority=0), ("u0",)))
+        all_acquired = [await bench.acquire() for _ in range(2 * SLOTS)]
+        again = asyncio.ensure_future(bench.admission.acquire(_make_request(priority=0), ("u0",)))
         await asyncio.sleep(0)
         first = await bench.wait(priority=9)
         acquired = next(
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -49,7 +49,7 @@
         self.watch.note_started(_restart(upstream))
 
     def count(self, name: bytes) -> int:
-        suspicion = self.watch.tell().get(name)
+        suspicion = self.watch.export_suspicions().get(name)
         return len(suspicion.crashes) if suspicion is not None else 0
 
     def refused_s(self, name: bytes) -> float:
@@ -81,7 +81,7 @@
 def test_the_end_of_an_upstream_that_leaves_is_no_crash() -> None:
     bench = _CrashWatchBench()
     by_list, by_answer = _upstream(1, is_leaving=True), _upstream(2)
-    by_answer.said.is_leaving = True
+    by_answer.reported_state.is_leaving = True
     for upstream in (by_list, by_answer):
         bench.watch.note_broken_attempt(lambda: CRASHING, upstream)
         bench.watch.note_port_closed(upstream.listed)
@@ -139,8 +139,8 @@
         watch.note_port_closed(upstream.listed)
         watch.note_started(_restart(upstream))
     for _ in range(3):
-        bench.watch.take_told(other.watch.tell())
-        other.watch.take_told(bench.watch.tell())
+        bench.watch.merge_reported(other.watch.export_suspicions())
+        other.watch.merge_reported(bench.watch.export_suspicions())
     assert bench.count(CRASHING) == other.count(CRASHING) == 1
 
 
@@ -150,7 +150,7 @@
         benches[number].crash(number, CRASHING)
     for sender in benches[:3]:
         for bench in benches:
-            bench.watch.take_told(sender.watch.tell())
+            bench.watch.merge_reported(sender.watch.export_suspicions())
     assert [bench.count(CRASHING) for bench in benches] == [3] * 4
     assert all(bench.refused_s(CRASHING) > 0 for bench in benches)
 
@@ -159,17 +159,17 @@
     bench, other = _CrashWatchBench(), _CrashWatchBench()
     for number in range(2):
         bench.crash(number, CRASHING, HARMLESS)
-    other.watch.take_told(bench.watch.tell())
-    before = bench.watch.tell()
+    other.watch.merge_reported(bench.watch.export_suspicions())
+    before = bench.watch.export_suspicions()
     for gateway in (bench, other):
         gateway.clock.now_s += 1.0
     bench.watch.note_answered(HARMLESS)
-    other.watch.take_told(bench.watch.tell())
+    other.watch.merge_reported(bench.watch.export_suspicions())
     assert other.count(HARMLESS) == 0
     # An outdated report from a third gateway does not restore the cleared suspicion.
     late = {name: replace_ages(suspicion, 1.0) for name, suspicion in before.items()}
-    other.watch.take_told(late)
-    bench.watch.take_told(late)
+    other.watch.merge_reported(late)
+    bench.watch.merge_reported(late)
     assert (bench.count(HARMLESS), other.count(HARMLESS)) == (0, 0)
     assert (bench.count(CRASHING), other.count(CRASHING)) == (2, 2)
 
@@ -187,8 +187,8 @@
         for gateway in (bench, other):
             gateway.clock.now_s += 1.0
             gateway.watch.note_started(_restart(upstream))
-        bench.watch.take_told(other.watch.tell())
-        other.watch.take_told(bench.watch.tell())
+        bench.watch.merge_reported(other.watch.export_suspicions())
+        other.watch.merge_reported(bench.watch.export_suspicions())
     assert (bench.count(CRASHING), other.count(CRASHING)) == (4, 4)
     assert (bench.count(HARMLESS), other.count(HARMLESS)) == (0, 0)
 
@@ -202,9 +202,9 @@
 def test_a_request_is_not_retried_after_two_crashes_and_refused_after_three() -> None:
     bench = _CrashWatchBench()
     bench.crash(0, CRASHING)
-    assert bench.watch.may_try_again(lambda: CRASHING)
+    assert bench.watch.may_be_retried(lambda: CRASHING)
     bench.crash(1, CRASHING)
-    assert not bench.watch.may_try_again(lambda: CRASHING)
+    assert not bench.watch.may_be_retried(lambda: CRASHING)
     assert bench.refused_s(CRASHING) == 0.0
     bench.crash(2, CRASHING)
     assert bench.refused_s(CRASHING) == pytest.approx(crashes_module.REFUSAL_S)
@@ -220,10 +220,10 @@
         waits_s.append(refused_s)
         bench.clock.now_s += refused_s + 0.1
         other.clock.now_s = bench.clock.now_s
-        other.watch.take_told(bench.watch.tell())
+        other.watch.merge_reported(bench.watch.export_suspicions())
         assert bench.refused_s(CRASHING) == 0.0
         assert bench.refused_s(CRASHING) > 0.0
-        other.watch.take_told(bench.watch.tell())
+        other.watch.merge_reported(bench.watch.export_suspicions())
         assert other.refused_s(CRASHING) > 0.0
         bench.crash(number, CRASHING)
     assert waits_s == pytest.approx([60.0, 240.0, 960.0])
@@ -245,7 +245,7 @@
     for number in range(crashes_module.MAX_SUSPECTS + 100):
         bench.crash(number, b"%d" % number)
     assert len(bench.watch._suspects) == crashes_module.MAX_SUSPECTS
-    assert len(bench.watch.tell()) == crashes_module.MAX_REPORTED_SUSPECTS
+    assert len(bench.watch.export_suspicions()) == crashes_module.MAX_REPORTED_SUSPECTS
     bench.clock.now_s += crashes_module.SUSPICION_RETENTION_S + 1
-    assert bench.watch.tell() == {}
+    assert bench.watch.export_suspicions() == {}
     assert bench.watch._suspects == {}
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -107,18 +107,18 @@
     (before,) = upstreams
     move = Move()
     before.moves.add(move)
-    before.in_hand, before.unknown, before.unknown_at_s = 3, 4, 10.0
+    before.in_flight, before.untracked, before.untracked_at_s = 3, 4, 10.0
     before.eject(10.0)
     _put(upstreams, state="draining")
     _put(upstreams, born=BORN_MS + 1)
     (after,) = upstreams
     assert not after.listed.is_leaving
-    assert (after.in_hand, after.load(10.0), after.ejected_until_s) == (0, 0.0, 0.0)
+    assert (after.in_flight, after.load(10.0), after.ejected_until_s) == (0, 0.0, 0.0)
     assert upstreams.choose("desk", (), 10.0) is after
     # What ran there goes on elsewhere, and counts no more.
-    assert move.is_asked
-    before.in_hand -= 3
-    assert after.in_hand == 0
+    assert move.is_requested
+    before.in_flight -= 3
+    assert after.in_flight == 0
     # What an older reading says of the earlier start changes nothing.
     _put(upstreams, state="draining")
     assert [u.listed.is_leaving for u in upstreams] == [False]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -125,7 +125,7 @@
         await _with_servers(bench, way)
         await bench.add_server("s2")
         # The first choice is the server that fails.
-        bench.gateway.state.upstreams.add_others("s2", 1)
+        bench.gateway.state.upstreams.adjust_others("s2", 1)
         answer = await bench.ask(path)
         assert answer.status == status
         assert answer.is_whole
@@ -204,7 +204,7 @@
         await server.left.wait()
         assert len(server.cancelled) == 1
         asking.cancel()
-        await bench.until(lambda: not any(u.in_hand for u in bench.gateway.state.upstreams))
+        await bench.until(lambda: not any(u.in_flight for u in bench.gateway.state.upstreams))
 
     run_bench(scenario)
 
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -177,11 +177,11 @@
     window = RetryWindow(window_s=10.0, share=0.2, extra=2.0)
     for number in range(10):
         window.count_first_attempt(float(number))
-    taken = sum(window.take_repeat(9.5) for _ in range(10))
+    taken = sum(window.try_take(9.5) for _ in range(10))
     assert taken == 4
     # At 12.5 s the oldest first attempts have left the window, so fewer retries are allowed.
-    assert not window.take_repeat(12.5)
-    assert window.take_repeat(20.0)
+    assert not window.try_take(12.5)
+    assert window.try_take(20.0)
 
 
 def test_passes_that_take_longer_at_the_same_batch_size_are_detected() -> None:
@@ -234,7 +234,7 @@
         engine = {"slots": 4, "step_ms": 10.0, "per_seq_ms": 0, "context_per_k": 0}
         service = {"name": "desk", "maxConnections": 9}
         service["engine"] = {**engine, "read_per_s": 1e6, "stride": 5}
-        state.take_table(decode_config(msgspec.json.encode(make_config(services=[service]))))
+        state.apply_table(decode_config(msgspec.json.encode(make_config(services=[service]))))
         state.upstreams.put(ListedUpstream("u", "desk", "127.0.0.1:9", "hall", 4, False))
         pass_times = state.pass_times_of(state.upstreams.of_service("desk")[0].listed)
         for _ in range(10):
@@ -263,7 +263,7 @@
     upstreams.note_slow_ranks("desk/g", {1})
     first = upstreams.choose("desk", (), 0.0)
     assert first is not None and first.listed.group_rank == 0
-    first.in_hand += 1
+    first.in_flight += 1
     assert upstreams.choose("desk", (), 0.0) is None
     upstreams.remove("s0")
     only = upstreams.choose("desk", (), 0.0)
--- a/tests/test_limits_at_size.py
+++ b/tests/test_limits_at_size.py
@@ -38,7 +38,7 @@
         world = LimitWorld(7, halls, servers)
         begin(world)
         await asyncio.sleep(2.0)
-        world.ask_often(rate_per_s, names)
+        world.send_requests(rate_per_s, names)
         await asyncio.sleep(DURATION_S / 2)
         happen(world)
         await asyncio.sleep(DURATION_S / 2)
@@ -138,8 +138,10 @@
         world.servers["s0"].limit_per_s = None
 
     def check(world: LimitWorld) -> None:
-        said = {u.said.limit_per_s for g in world.gateways.values() for u in g.upstreams}
-        assert said == {None}
+        limits = {
+            u.reported_state.limit_per_s for g in world.gateways.values() for u in g.upstreams
+        }
+        assert limits == {None}
 
     servers = {"s0": Server("a", 1.0)}
     world = _simulate(THIRTY_ONE, servers, rate_per_s=1.0, happen=end_limit, check=check)
--- a/tests/test_rank_groups.py
+++ b/tests/test_rank_groups.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from dalehollow.gateway.admission import Admission, NoPlace, Turn
+from dalehollow.gateway.admission import Admission, AdmissionRefusal, AdmissionRequest
 from dalehollow.gateway.groups import GroupRanks
 from dalehollow.gateway.health import GroupHealth
 from dalehollow.gateway.listed import ListedUpstream, Member
@@ -58,11 +58,11 @@
             "desk", self.upstreams, self.health, random.Random(7), clock=lambda: self.now_s
         )
 
-    async def take(self) -> Upstream | NoPlace:
-        return await self.admission.take(Turn("talk", 5, 40.0, 8.0, 8.0), ())
+    async def acquire(self) -> Upstream | AdmissionRefusal:
+        return await self.admission.acquire(AdmissionRequest("talk", 5, 40.0, 8.0, 8.0), ())
 
     async def take_groups(self, count: int) -> list[str]:
-        taken = [await self.take() for _ in range(count)]
+        taken = [await self.acquire() for _ in range(count)]
         return [u.listed.group for u in taken if isinstance(u, Upstream)]
 
 
@@ -152,9 +152,9 @@
         for group in GROUPS:
             desk.health.note_refused(f"desk/{group}", desk.now_s)
         assert desk.admission.is_broken()
-        probe, refused = await desk.take(), await desk.take()
+        probe, refused = await desk.acquire(), await desk.acquire()
         assert isinstance(probe, Upstream)
-        assert isinstance(refused, NoPlace) and refused.reason == "group_broken"
+        assert isinstance(refused, AdmissionRefusal) and refused.reason == "group_broken"
 
     asyncio.run(scenario())
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -109,12 +109,12 @@
         bench.receive(_load("near", s1=2))
         bench.upstreams.put(_make_upstream("s1"))
         (upstream,) = bench.upstreams
-        assert upstream.known_in_hand() == 2
+        assert upstream.known_in_flight() == 2
         bench.receive(_load("near", s1=1))
-        assert upstream.known_in_hand() == 1
+        assert upstream.known_in_flight() == 1
         bench.receive(_load("near"))
         bench.receive(_load("near-2", s1=3))
-        assert upstream.known_in_hand() == 3
+        assert upstream.known_in_flight() == 3
 
     _run(scenario)
 
@@ -146,7 +146,7 @@
         bench.receive(passed_on, NEAR)
         assert len(bench.socket.sent) == 2
         (upstream,) = bench.upstreams
-        assert upstream.known_in_hand() == 2
+        assert upstream.known_in_flight() == 2
 
     _run(scenario)
 
@@ -176,11 +176,11 @@
         bench.receive(_load("near", s1=2))
         bench.receive(HallReport("hall-2", {"s1": 1}, {}, {}), FAR)
         (upstream,) = bench.upstreams
-        assert upstream.known_in_hand() == 3
+        assert upstream.known_in_flight() == 3
         with replaced(reports.asyncio, "get_running_loop", lambda: _Later()):
             bench.reports._forget_silent(bench.reports._near_reports)
             bench.reports._forget_silent(bench.reports._hall_reports)
-        assert upstream.known_in_hand() == 0
+        assert upstream.known_in_flight() == 0
 
     _run(scenario)
 
@@ -269,7 +269,7 @@
         message = HallSignals("hall-2", {"s1": Limit(2.0, 0.1)}, {b"f": suspicion})
         bench.receive(message, FAR)
         (upstream,) = bench.upstreams
-        assert upstream.said.limit_per_s == 2.0
+        assert upstream.reported_state.limit_per_s == 2.0
         assert bench.crashes.check_request(lambda: b"f") > 0
         passed_on = msgspec.structs.replace(message, is_passed_on=True)
         assert bench.socket.sent == [(passed_on, NEAR), (passed_on, NEAR_2)]
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -218,11 +218,11 @@
 def test_a_retry_counts_when_it_is_sent() -> None:
     """Guards against exceeding the budget when retries wait for a slot before they are sent."""
     window = RetryWindow(window_s=10.0, share=0.2, extra=4.0)
-    assert [window.take_repeat(0.0) for _ in range(5)] == [True, True, True, True, False]
+    assert [window.try_take(0.0) for _ in range(5)] == [True, True, True, True, False]
     for _ in range(4):
         window.mark_sent(0.0, 6.0)
-    assert not window.take_repeat(12.0)
-    assert window.take_repeat(16.0)
+    assert not window.try_take(12.0)
+    assert window.try_take(16.0)
 
 
 def test_a_retry_that_is_not_sent_is_given_back() -> None:
--- a/tests/test_suspended_vm.py
+++ b/tests/test_suspended_vm.py
@@ -80,15 +80,15 @@
         await bench.add_server("s0")
         state, clock = bench.gateway.state, asyncio.get_running_loop().time
         (upstream,) = state.upstreams
-        upstream.note_rest(4.0, clock())
+        upstream.start_backoff(4.0, clock())
         window = state.retry_window("desk")
         taken = 0
-        while window.take_repeat(clock()):
+        while window.try_take(clock()):
             taken += 1
         assert taken > 0
         with suspended(60.0):
             assert upstream.takes_requests(clock())
-            assert window.take_repeat(clock())
+            assert window.try_take(clock())
         assert (await bench.ask("/read/1")).status == 503
 
     run_bench(scenario)
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -110,15 +110,15 @@
         limited = await _add_limited(bench, "50")
         (upstream,) = bench.gateway.state.upstreams
         await bench.ask("/open/1")
-        assert upstream.said.limit_per_s == 50.0
+        assert upstream.reported_state.limit_per_s == 50.0
         limited.ways = [way]
         while limited.ways:
             # Tokens accrue over time.
             await bench.ask("/open/1")
-        assert upstream.said.limit_per_s == 50.0
+        assert upstream.reported_state.limit_per_s == 50.0
         limited.ways, limited.says = [], []
         while (await bench.ask("/open/1")).status != 200:
             await asyncio.sleep(0.01)
-        assert upstream.said.limit_per_s is None
+        assert upstream.reported_state.limit_per_s is None
 
     run_bench(scenario)
--- a/tests/test_upstream_rests.py
+++ b/tests/test_upstream_rests.py
@@ -76,7 +76,7 @@
         await _add_upstreams(bench, 0, value="0.2")
         (backing_off,) = bench.gateway.state.upstreams
         now_s = asyncio.get_running_loop().time
-        await bench.until(lambda: not backing_off.rest_left_s(now_s()))
+        await bench.until(lambda: not backing_off.backoff_left_s(now_s()))
         assert (await bench.ask("/read/1")).status == 200
 
     run_bench(scenario)
@@ -115,7 +115,7 @@
         await _add_upstreams(bench, 0, value="1")
         await bench.apply(make_config(2, routes=[patient]))
         busy = await bench.add_server("s1", slots=1)
-        bench.gateway.state.upstreams.add_others("s1", 1)
+        bench.gateway.state.upstreams.adjust_others("s1", 1)
         assert (await bench.ask("/read/2", left_ms=60_000)).status == 200
         assert busy.seen == []
 
@@ -153,7 +153,7 @@
         server.says = [(b"retry-after", b"50")]
         await bench.ask("/read/0")
         (upstream,) = bench.gateway.state.upstreams
-        assert upstream.rest_left_s(asyncio.get_running_loop().time()) == 0.0
+        assert upstream.backoff_left_s(asyncio.get_running_loop().time()) == 0.0
 
     run_bench(scenario)
 
