--- a/dalehollow/gateway/admission.py
+++ b/dalehollow/gateway/admission.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from dalehollow.gateway.health import GroupHealth
-from dalehollow.gateway.limit_tokens import MAX_REQUESTED_TOKENS, TOKEN_REQUEST_LIFE_S
+from dalehollow.gateway.limit_tokens import MAX_REQUESTED_TOKENS, TOKEN_REQUEST_LIFETIME_S
 from dalehollow.gateway.upstream import Upstream
 from dalehollow.gateway.upstreams import UpstreamSet
 
@@ -126,7 +126,7 @@
             lacks_tokens = self.upstreams.lacks_tokens(candidates, self.clock())
             if not lacks_tokens or len(self.waiting) >= MAX_REQUESTED_TOKENS:
                 return AdmissionRefusal("no_place_in_time", self._retry_after_s(request))
-            max_wait_s = min(max_wait_s, TOKEN_REQUEST_LIFE_S)
+            max_wait_s = min(max_wait_s, TOKEN_REQUEST_LIFETIME_S)
         return await self._wait(request, tried, is_client_retry, max_wait_s)
 
     def release(self, upstream: Upstream) -> None:
--- a/dalehollow/gateway/crashes.py
+++ b/dalehollow/gateway/crashes.py
@@ -25,7 +25,7 @@
 from dalehollow.protocol.reports import Suspicion
 from dalehollow.telemetry.logs import log_event
 
-MOST_CRASHES = 3
+MAX_CRASHES = 3
 MAX_CRASHES_FOR_RETRY = 2
 """Number of crashes after which a gateway no longer retries a request; its caller still may."""
 REFUSAL_S = 60.0
@@ -76,7 +76,7 @@
 
     def refused_until_s(self) -> float:
         """Return until when the request is refused; a past time if it is not."""
-        more = len(self.crashes) - MOST_CRASHES
+        more = len(self.crashes) - MAX_CRASHES
         if more < 0:
             return float("-inf")
         refused_s = min(MAX_REFUSAL_S, REFUSAL_S * REFUSAL_FACTOR**more)
@@ -168,7 +168,7 @@
         if not self._suspects:
             return 0.0
         suspect = self._suspects.get(name := fingerprint())
-        if suspect is None or len(suspect.crashes) < MOST_CRASHES:
+        if suspect is None or len(suspect.crashes) < MAX_CRASHES:
             return 0.0
         now_s = self._clock()
         left_s = suspect.refused_until_s() - now_s
@@ -238,7 +238,7 @@
         # Move the suspect to the end: suspects are ordered by their most recent crash.
         self._suspects[name] = self._suspects.pop(name)
         self._discard_expired(self._clock())
-        is_refused = len(suspect.crashes) >= MOST_CRASHES
+        is_refused = len(suspect.crashes) >= MAX_CRASHES
         log_event(
             _LOG,
             "request_refused_for_crashes" if is_refused else "request_suspected",
--- a/dalehollow/gateway/events.py
+++ b/dalehollow/gateway/events.py
@@ -46,8 +46,8 @@
 
     def flush(self) -> bytes:
         """Return and clear the data after the last complete event."""
-        rest, self._partial = self._partial, b""
-        return rest
+        remainder, self._partial = self._partial, b""
+        return remainder
 
     def discard_partial(self) -> None:
         """Discard an incomplete event after its connection broke."""
--- a/dalehollow/gateway/exchange.py
+++ b/dalehollow/gateway/exchange.py
@@ -20,7 +20,7 @@
 from dalehollow.gateway.upstream import Move, MoveReason, Upstream
 from dalehollow.telemetry.logs import log_event
 
-_FIRST_FAILED_STATUS = 500
+_MIN_SERVER_ERROR_STATUS = 500
 _MS_PER_S = 1000
 
 _LOG = logging.getLogger(__name__)
@@ -136,7 +136,7 @@
                 move=move,
             )
             if isinstance(result, MayHaveRun):
-                await self._note_broken_off(upstream, move)
+                await self._handle_broken_connection(upstream, move)
             if isinstance(result, NotRun):
                 progress.may_have_run = may_have_run_before
             if result.signals is not None:
@@ -166,7 +166,7 @@
             window.mark_sent(self._retry_taken_at_s, self._clock())
             self._retry_taken_at_s = None
 
-    async def _note_broken_off(self, upstream: Upstream, move: Move) -> None:
+    async def _handle_broken_connection(self, upstream: Upstream, move: Move) -> None:
         """Record a broken connection and check whether the upstream crashed."""
         if move.reason is MoveReason.SLOW_RANK:
             return
@@ -181,7 +181,7 @@
         try:
             return await self._relay(upstream, answered)
         except CutError as exc:
-            await self._note_broken_off(upstream, move)
+            await self._handle_broken_connection(upstream, move)
             if move.is_requested:
                 self._note_attempt(upstream, "attempt_moved", str(move.reason))
             else:
@@ -240,14 +240,14 @@
             if self._note_status(upstream, head) and self._take_retry(is_answered=True):
                 return False
             self._caller.send_whole(head.status, _end_to_end_headers(head), body)
-        if head.status < _FIRST_FAILED_STATUS:
+        if head.status < _MIN_SERVER_ERROR_STATUS:
             self._state.crashes.note_answered(self._make_fingerprint())
-        outcome.note_done(self._state, self._job, self._progress, head.status)
+        outcome.note_completed(self._state, self._job, self._progress, head.status)
         return True
 
     def _note_status(self, upstream: Upstream, head: AnswerHead) -> bool:
         """Record a complete answer as a success or failure; return whether it is a failure."""
-        if head.status < _FIRST_FAILED_STATUS:
+        if head.status < _MIN_SERVER_ERROR_STATUS:
             upstream.note_answer(failed=False)
             return False
         self._state.upstreams.note_failure(upstream, self._clock(), is_unreachable=False)
--- a/dalehollow/gateway/limit_tokens.py
+++ b/dalehollow/gateway/limit_tokens.py
@@ -23,12 +23,12 @@
 from dalehollow.rendezvous import score
 from dalehollow.telemetry.logs import log_event
 
-TOKEN_LIFE_S = 1.0
+TOKEN_LIFETIME_S = 1.0
 """Lifetime of a token. Accumulated unused tokens would allow bursts above the rate."""
 BURST_S = 0.5
 """Capacity of the token bucket, in seconds of its rate plus one token, for simultaneous requests
-for tokens. Together with `TOKEN_LIFE_S`, at most 5.5 * rate + 1 tokens are used in 4 s; the limit
-allows 6 * rate + 5."""
+for tokens. Together with `TOKEN_LIFETIME_S`, at most 5.5 * rate + 1 tokens are used in 4 s; the
+limit allows 6 * rate + 5."""
 MIN_RATE_PER_S = 0.25
 """Lower bound of the enforced rate. The end of a limit is only learned from an answer, so requests
 must not stop entirely."""
@@ -40,13 +40,13 @@
 MIN_REQUEST_INTERVAL_S = 0.1
 UNRESPONSIVE_S = 0.5
 """Time without an answer after which the next allocator in order is used."""
-TOKEN_REQUEST_LIFE_S = 0.1
+TOKEN_REQUEST_LIFETIME_S = 0.1
 """Lifetime of a token request: a few round trips to another hall, and the longest wait of a request
 that lacks only a token. A token granted later would go unused."""
 MAX_REQUESTED_TOKENS = 4
 """Most tokens that a gateway requests at a time, as many as it can use within their lifetime."""
-TICK_S = 0.05
-MIN_TICK_S = 0.01
+STEP_INTERVAL_S = 0.05
+MIN_STEP_INTERVAL_S = 0.01
 
 _LOG = logging.getLogger(__name__)
 
@@ -55,12 +55,12 @@
 
 @dataclass(frozen=True)
 class Peer:
-    """Describe another gateway; `is_heard` is set if a message from it was received recently."""
+    """Describe another gateway; `is_responsive` is set if it has sent a message recently."""
 
     name: str
     hall: str
     address: Address
-    is_heard: bool
+    is_responsive: bool
 
 
 @dataclass
@@ -91,12 +91,12 @@
         self.pending = {n: a for n, a in self.pending.items() if now_s <= a.expires_at_s}
         while self.tokens >= 1.0 and self.pending:
             name = next(iter(self.pending))
-            requester = self.pending.pop(name)
+            request = self.pending.pop(name)
             self.tokens -= 1.0
             granted[name] = granted.get(name, 0) + 1
-            requester.wanted -= 1
-            if requester.wanted:
-                self.pending[name] = requester
+            request.wanted -= 1
+            if request.wanted:
+                self.pending[name] = request
         return granted
 
 
@@ -161,7 +161,7 @@
         limit.tokens = [expires_at_s for expires_at_s in limit.tokens if expires_at_s > now_s]
         return bool(limit.tokens)
 
-    def spend(self, incarnation: str) -> None:
+    def consume_token(self, incarnation: str) -> None:
         """Consume a token if the upstream has a limit."""
         limit = self._limits.get(incarnation)
         if limit is not None and limit.tokens:
@@ -170,7 +170,7 @@
     def request_token(self, incarnation: str) -> bool:
         """Request a token, perhaps granted at once; return whether the allocator responds."""
         limit, now_s = self._limits[incarnation], self._clock()
-        if now_s - limit.requested_at_s > TOKEN_REQUEST_LIFE_S:
+        if now_s - limit.requested_at_s > TOKEN_REQUEST_LIFETIME_S:
             # The requests that needed the earlier tokens have stopped waiting.
             limit.wanted = 0
         limit.requested_at_s = now_s
@@ -183,10 +183,10 @@
         while True:
             if not self._limits:
                 await self._changed.wait()
-            await wait_set(self._changed, TICK_S)
+            await wait_set(self._changed, STEP_INTERVAL_S)
             self._changed.clear()
             self.step()
-            await asyncio.sleep(MIN_TICK_S)
+            await asyncio.sleep(MIN_STEP_INTERVAL_S)
 
     def step(self) -> None:
         """Send pending token requests and grant available tokens."""
@@ -226,7 +226,7 @@
 
     def handle_token_grant(self, grant: TokenGrant) -> None:
         """Store granted tokens; a grant of 0 acknowledges a request while none is available."""
-        expires_at_s = self._clock() + TOKEN_LIFE_S
+        expires_at_s = self._clock() + TOKEN_LIFETIME_S
         for incarnation, tokens in grant.tokens.items():
             limit = self._limits.get(incarnation)
             if limit is not None:
@@ -254,9 +254,9 @@
 
     def _find_allocator(self, incarnation: str, limit: _LimitState, peers: list[Peer]) -> str:
         """Return the allocator as seen by the candidates: the first one heard from recently."""
-        heard = {peer.name for peer in peers if peer.is_heard} | {self._name}
+        responsive = {peer.name for peer in peers if peer.is_responsive} | {self._name}
         order = self._rank_allocators(incarnation, limit.hall, peers)
-        return next((name for name in order if name in heard), "")
+        return next((name for name in order if name in responsive), "")
 
     def _rank_allocators(self, incarnation: str, hall: str, peers: list[Peer]) -> list[str]:
         """Return the candidate allocators of an upstream in order of preference.
@@ -279,9 +279,9 @@
             allocation = self._allocations[incarnation] = _Allocation(rate_per_s, begins_at_s)
             log_event(_LOG, "limit_allocated", incarnation=incarnation, rate_per_s=rate_per_s)
         if wanted > 0:
-            known = allocation.pending.setdefault(requester, _PendingRequest(0, now_s))
-            known.wanted = min(MAX_REQUESTED_TOKENS, wanted)
-            known.expires_at_s = now_s + TOKEN_REQUEST_LIFE_S
+            pending_request = allocation.pending.setdefault(requester, _PendingRequest(0, now_s))
+            pending_request.wanted = min(MAX_REQUESTED_TOKENS, wanted)
+            pending_request.expires_at_s = now_s + TOKEN_REQUEST_LIFETIME_S
 
     def _grant(self, answers: dict[str, dict[str, int]]) -> None:
         """Grant available tokens and send them together with the pending `answers`."""
--- a/dalehollow/gateway/outcome.py
+++ b/dalehollow/gateway/outcome.py
@@ -1,6 +1,6 @@
 """Report how requests ended to callers, logs and metrics.
 
-Refused, failed, late and truncated requests are always logged, other requests are sampled.
+Refusals, failures and truncated answers are always logged; ordinary answers are sampled.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
 
 def _describe_config(state: GatewayState, refusal: Refusal) -> dict[str, object]:
-    """Return the age of the configuration if it is the only reason for the refusal."""
+    """Return the age of the configuration and the state of the store if they decided a refusal."""
     if refusal.status not in (HTTPStatus.UNAUTHORIZED, HTTPStatus.NOT_FOUND):
         return {}
     age_s = asyncio.get_running_loop().time() - state.table_applied_at_s
@@ -122,7 +122,7 @@
     caller.cut()
 
 
-def note_done(state: GatewayState, job: Job, progress: Progress, status: int) -> None:
+def note_completed(state: GatewayState, job: Job, progress: Progress, status: int) -> None:
     """Record an upstream's answer that was relayed completely."""
     now_s = asyncio.get_running_loop().time()
     state.metrics.count("requests", outcome="answered", reason=str(status))
--- a/dalehollow/gateway/upstreams.py
+++ b/dalehollow/gateway/upstreams.py
@@ -267,7 +267,7 @@
         """Count a request to an upstream as in flight and consume a token."""
         upstream.in_flight += 1
         if self.tokens is not None:
-            self.tokens.spend(upstream.listed.incarnation)
+            self.tokens.consume_token(upstream.listed.incarnation)
 
     def lacks_tokens(self, candidates: Collection[Upstream], now_s: float) -> bool:
         """Return whether a candidate has free slots and lacks only a token."""
--- a/tests/retry_fleet.py
+++ b/tests/retry_fleet.py
@@ -49,9 +49,9 @@
 class Schedule:
     """Hold the disturbances of a run; times are in seconds, gateways are given by index."""
 
-    # Intervals in which all first tries fail.
+    # Intervals in which all first attempts fail.
     outages: list[tuple[float, float]] = field(default_factory=lambda: [(12.0, DURATION_S)])
-    # Share of first tries that fail outside `outages`.
+    # Share of first attempts that fail outside `outages`.
     failed_share: float = 0.01
     # Time, restarted gateways.
     restarts: list[tuple[float, Sequence[int]]] = field(default_factory=list)
@@ -171,7 +171,7 @@
             state.note_gateways(gateways_per_hall if sees_own_hall_only else len(self._states))
 
     def _send_request(self, at_s: float) -> None:
-        """Send a request to a gateway, which may retry it if its first try fails."""
+        """Send a request to a gateway, which may retry it if its first attempt fails."""
         self._result.requests_s.append(at_s)
         number = self._choose_gateway(at_s)
         accepted_s = self._accept_time_s(number, at_s)
@@ -203,7 +203,7 @@
 
 
 def make_schedules(gateways: int) -> dict[str, Schedule]:
-    """Return one schedule per kind of disturbance; all first tries fail from 12 s on."""
+    """Return one schedule per kind of disturbance; all first attempts fail from 12 s on."""
     all_gateways = range(gateways)
     batches = [all_gateways[start::10] for start in range(10)]
     return {
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -35,11 +35,11 @@
 
     def __init__(self) -> None:
         self.clock = ManualClock()
-        self.reported = 0
+        self.change_count = 0
         self.watch = CrashWatch(self.clock, self._note_change)
 
     def _note_change(self) -> None:
-        self.reported += 1
+        self.change_count += 1
 
     def crash(self, number: int, *names: bytes) -> None:
         """Crash an upstream while some requests are in flight."""
--- a/tests/test_limits_at_size.py
+++ b/tests/test_limits_at_size.py
@@ -28,11 +28,11 @@
     *,
     rate_per_s: float,
     names: tuple[str, ...] = (),
-    happen: Callable[[LimitWorld], None] = lambda world: None,
+    halfway: Callable[[LimitWorld], None] = lambda world: None,
     begin: Callable[[LimitWorld], None] = lambda world: None,
     check: Callable[[LimitWorld], None] = lambda world: None,
 ) -> LimitWorld:
-    """Run a simulation; call `begin` before it, `happen` halfway and `check` at the end."""
+    """Run a simulation; call `begin` before it, `halfway` in the middle and `check` at the end."""
 
     async def main() -> LimitWorld:
         world = LimitWorld(7, halls, servers)
@@ -40,7 +40,7 @@
         await asyncio.sleep(2.0)
         world.send_requests(rate_per_s, names)
         await asyncio.sleep(DURATION_S / 2)
-        happen(world)
+        halfway(world)
         await asyncio.sleep(DURATION_S / 2)
         check(world)
         world.close()
@@ -91,9 +91,9 @@
     def disconnect(world: LimitWorld) -> None:
         world.are_halls_connected = False
 
-    for begin, happen in ((disconnect, lambda world: None), (lambda world: None, disconnect)):
+    for begin, halfway in ((disconnect, lambda world: None), (lambda world: None, disconnect)):
         servers = {"s0": Server("a", limit)}
-        world = _simulate(THIRTY_ONE, servers, rate_per_s=1.0, begin=begin, happen=happen)
+        world = _simulate(THIRTY_ONE, servers, rate_per_s=1.0, begin=begin, halfway=halfway)
         assert _count_most(world.servers["s0"]) <= count_allowed(limit)
 
 
@@ -102,7 +102,7 @@
     def disconnect(world: LimitWorld) -> None:
         world.are_halls_connected = False
 
-    world = _simulate(EIGHT, {"s0": Server("far", limit)}, rate_per_s=2.0, happen=disconnect)
+    world = _simulate(EIGHT, {"s0": Server("far", limit)}, rate_per_s=2.0, halfway=disconnect)
     assert _count_most(world.servers["s0"]) <= count_allowed(limit)
 
 
@@ -118,7 +118,7 @@
     def lose_datagrams(world: LimitWorld) -> None:
         world.loss = 0.3
 
-    world = _simulate(THIRTY_ONE, {"s0": Server("a", 2.0)}, rate_per_s=1.0, happen=lose_datagrams)
+    world = _simulate(THIRTY_ONE, {"s0": Server("a", 2.0)}, rate_per_s=1.0, halfway=lose_datagrams)
     assert _count_most(world.servers["s0"]) <= count_allowed(2.0)
     assert _utilization(world.servers["s0"], 6.0) >= MIN_UTILIZATION / 2
 
@@ -128,7 +128,7 @@
         (allocator,) = (g.name for g in world.gateways.values() if g.tokens._allocations)
         world.stop(allocator)
 
-    world = _simulate(EIGHT, {"s0": Server("a", 4.0)}, rate_per_s=2.0, happen=end_allocator)
+    world = _simulate(EIGHT, {"s0": Server("a", 4.0)}, rate_per_s=2.0, halfway=end_allocator)
     assert _count_most(world.servers["s0"]) <= count_allowed(4.0)
     assert _utilization(world.servers["s0"], 4.0) >= MIN_UTILIZATION
 
@@ -144,6 +144,6 @@
         assert limits == {None}
 
     servers = {"s0": Server("a", 1.0)}
-    world = _simulate(THIRTY_ONE, servers, rate_per_s=1.0, happen=end_limit, check=check)
+    world = _simulate(THIRTY_ONE, servers, rate_per_s=1.0, halfway=end_limit, check=check)
     late = [a for a in world.servers["s0"].arrivals if a.at_s > 2.0 + DURATION_S - 3.0]
     assert len(late) > 31
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -68,10 +68,10 @@
 
 
 @dataclass
-class FirstTryFailsServer(ServerStandIn):
-    """Fail the first try of each request as `way` specifies and answer later tries.
+class FirstAttemptFailsServer(ServerStandIn):
+    """Fail the first attempt of each request as `way` specifies and answer later attempts.
 
-    A try is the first if no server that shares `arrivals` has received the request before.
+    An attempt is the first if no server that shares `arrivals` has received the request before.
     """
 
     way: Way = Way.CUT_UNANSWERED
@@ -87,10 +87,10 @@
 
 
 async def _add_failing_servers(bench: GatewayBench, way: Way = Way.CUT_UNANSWERED) -> Counter[str]:
-    """Add two servers that fail first tries; return their arrivals by request ID."""
+    """Add two servers that fail first attempts; return their arrivals by request ID."""
     arrivals: Counter[str] = Counter()
     for name in ("s0", "s1"):
-        server = FirstTryFailsServer(name, arrivals=arrivals, way=way)
+        server = FirstAttemptFailsServer(name, arrivals=arrivals, way=way)
         bench.list_server(name, await listen(server.handle), slots=99)
     return arrivals
 
