--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -68,10 +68,10 @@
 
 
 @dataclass
-class FirstTryFailsServer(ServerStandIn):
-    """Fail the first try of each request as `way` specifies and answer later tries.
+class FirstAttemptFailsServer(ServerStandIn):
+    """Fail the first attempt of each request as `way` specifies and answer later attempts.
 
-    A try is the first if no server that shares `arrivals` has received the request before.
+    An attempt is the first if no server that shares `arrivals` has received the request before.
     """
 
     way: Way = Way.CUT_UNANSWERED
@@ -87,10 +87,10 @@
 
 
 async def _add_failing_servers(bench: GatewayBench, way: Way = Way.CUT_UNANSWERED) -> Counter[str]:
-    """Add two servers that fail first tries; return their arrivals by request ID."""
+    """Add two servers that fail first attempts; return their arrivals by request ID."""
     arrivals: Counter[str] = Counter()
     for name in ("s0", "s1"):
-        server = FirstTryFailsServer(name, arrivals=arrivals, way=way)
+        server = FirstAttemptFailsServer(name, arrivals=arrivals, way=way)
         bench.list_server(name, await listen(server.handle), slots=99)
     return arrivals
 
@@ -218,11 +218,11 @@
 def test_a_retry_counts_when_it_is_sent() -> None:
     """Guards against exceeding the budget when retries wait for a slot before they are sent."""
     window = RetryWindow(window_s=10.0, share=0.2, extra=4.0)
-    assert [window.take_repeat(0.0) for _ in range(5)] == [True, True, True, True, False]
+    assert [window.try_take(0.0) for _ in range(5)] == [True, True, True, True, False]
     for _ in range(4):
         window.mark_sent(0.0, 6.0)
-    assert not window.take_repeat(12.0)
-    assert window.take_repeat(16.0)
+    assert not window.try_take(12.0)
+    assert window.try_take(16.0)
 
 
 def test_a_retry_that_is_not_sent_is_given_back() -> None:
