--- a/dalehollow/sidecar/__init__.py
+++ b/dalehollow/sidecar/__init__.py
@@ -1,4 +1,4 @@
-"""Stand beside one upstream, as the only gate through which the system gives it work."""
+"""Run beside one upstream, as the only path by which the system sends it requests."""
 
 from __future__ import annotations
 
--- a/dalehollow/sidecar/call.py
+++ b/dalehollow/sidecar/call.py
@@ -1,4 +1,4 @@
-"""Read what an entry asks of a sidecar."""
+"""Parse the requests that entries send to a sidecar."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class InnerCall:
-    """Hold one request from an entry; `deadline_s` is on this process's monotonic clock."""
+    """Hold a request from an entry; `deadline_s` is on this process's monotonic clock."""
 
     request_id: str
     service: str
@@ -36,26 +36,26 @@
 
     @property
     def scope(self) -> str:
-        """Return the name under which the key is owned and remembered."""
+        """Return the scope under which the key is owned and recorded."""
         return make_scope(self.service, self.account, self.key)
 
     @property
     def birth_ms(self) -> int | None:
-        """Return when the key was born, if it says so."""
+        """Return the creation time in the key, in Unix milliseconds; None if it has none."""
         return None if self.key is None else read_birth_ms(self.key)
 
     @property
     def fingerprint(self) -> str:
-        """Return a digest that tells two requests under one key apart."""
+        """Return a digest that distinguishes different requests with the same key."""
         head = f"{self.method} {self.target}\0".encode()
         return hashlib.sha256(head + self.body).hexdigest()
 
 
 def read_call(req: HttpRequest, inner_key: str, now_s: float) -> Result[InnerCall, Failure]:
-    """Check the inner headers and return the call."""
+    """Validate the internal headers and return the call."""
     headers = req.headers
     if headers.get(hdr.INNER_KEY, "") != inner_key:
-        message = f"{hdr.INNER_KEY} is wrong; only entries may call a sidecar"
+        message = f"{hdr.INNER_KEY} is invalid; only entries may call a sidecar"
         return Err(Failure(Reason.FORBIDDEN, Verdict.NOT_RUN, message))
     priority = headers.get(hdr.PRIORITY, "")
     if priority not in PRIORITIES:
@@ -63,7 +63,7 @@
         return Err(Failure(Reason.BAD_REQUEST, Verdict.NOT_RUN, message))
     left_ms = headers.get(hdr.DEADLINE_MS, "")
     if not left_ms.isdigit():
-        message = f"{hdr.DEADLINE_MS} is {left_ms!r}, must be milliseconds"
+        message = f"{hdr.DEADLINE_MS} is {left_ms!r}, must be a number of milliseconds"
         return Err(Failure(Reason.BAD_REQUEST, Verdict.NOT_RUN, message))
     return Ok(
         InnerCall(
--- a/dalehollow/sidecar/forward.py
+++ b/dalehollow/sidecar/forward.py
@@ -1,4 +1,4 @@
-"""Give one request to the upstream and relay its answer, telling how far it came."""
+"""Forward a request to the upstream and relay its response, or report the failed step."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Forwarder:
-    """Hold what forwarding needs; `upstream_http` is the upstream's host:port."""
+    """Forward requests to one upstream; `upstream_http` is its host:port."""
 
     upstream: str
     upstream_http: str
@@ -40,14 +40,14 @@
     wall_ms: Callable[[], int]
 
     def serve(self, req: HttpRequest, call: InnerCall) -> HttpResponse:
-        """Run one call, once if it has a key, and return the response to the entry."""
-        run = self._run if call.key is None else self._run_once
+        """Run a call, at most once if it has a key, and return the response to the entry."""
+        run = self._run if call.key is None else self._run_at_most_once
         outcome = run(req, call)
         if isinstance(outcome, Ok):
             return outcome.ok_value
         return self._refuse(call, outcome.err_value)
 
-    def _run_once(self, req: HttpRequest, call: InnerCall) -> Result[HttpResponse, Failure]:
+    def _run_at_most_once(self, req: HttpRequest, call: InnerCall) -> Result[HttpResponse, Failure]:
         now_ms = self.wall_ms()
         admitted = self.ownership.admit(call, now_ms)
         if isinstance(admitted, Err):
@@ -58,15 +58,15 @@
         if isinstance(begun, Err):
             return begun
         if begun.ok_value is not None:
-            return Ok(self._respond_kept(begun.ok_value, is_replay=True))
+            return Ok(self._build_response(begun.ok_value, is_replay=True))
         try:
-            outcome = self._run_whole(req, call)
+            outcome = self._run_buffered(req, call)
         except BaseException:
             table.mark_unknown(call.scope)
             raise
         if isinstance(outcome, Ok):
             table.finish(call.scope, outcome.ok_value)
-            return Ok(self._respond_kept(outcome.ok_value, is_replay=False))
+            return Ok(self._build_response(outcome.ok_value, is_replay=False))
         if outcome.err_value.verdict is Verdict.NOT_RUN:
             table.forget(call.scope)
         else:
@@ -74,33 +74,35 @@
         return outcome
 
     def _run(self, req: HttpRequest, call: InnerCall) -> Result[HttpResponse, Failure]:
-        """Run a call and relay its answer, streaming where the upstream streams."""
-        begun = self._begin(req, call)
+        """Run a call and relay the response, streaming it if the upstream streams."""
+        begun = self._start_call(req, call)
         if isinstance(begun, Err):
             return begun
-        answer, began_s = begun.ok_value
+        answer, started_s = begun.ok_value
         if answer.is_whole():
-            return self._read_whole(call, answer, began_s).map(self._respond_whole)
-        headers = self._answer_headers(answer)
-        return Ok(HttpResponse(answer.status, headers, self._relay(answer, began_s)))
+            return self._read_buffered(call, answer, started_s).map(self._build_first_response)
+        headers = self._relayed_headers(answer)
+        return Ok(HttpResponse(answer.status, headers, self._relay(answer, started_s)))
 
-    def _run_whole(self, req: HttpRequest, call: InnerCall) -> Result[KeptAnswer, Failure]:
-        """Run a call and read its answer whole, so that it can be kept."""
-        begun = self._begin(req, call)
+    def _run_buffered(self, req: HttpRequest, call: InnerCall) -> Result[KeptAnswer, Failure]:
+        """Run a call and buffer the whole response so that it can be stored."""
+        begun = self._start_call(req, call)
         if isinstance(begun, Err):
             return begun
-        return self._read_whole(call, *begun.ok_value)
+        return self._read_buffered(call, *begun.ok_value)
 
-    def _begin(self, req: HttpRequest, call: InnerCall) -> Result[tuple[Answer, float], Failure]:
-        """Wait for a permit, send the request and return the answer's head."""
+    def _start_call(
+        self, req: HttpRequest, call: InnerCall
+    ) -> Result[tuple[Answer, float], Failure]:
+        """Acquire a gate permit, send the request and return the response head and start time."""
         permit = self.gate.acquire(call.priority, call.deadline_s)
         if isinstance(permit, Err):
             return permit
-        began_s = read_clock()
-        left_s = call.deadline_s - began_s
+        started_s = read_clock()
+        left_s = call.deadline_s - started_s
         if left_s <= 0 or not req.is_connected():
             self.gate.release()
-            message = "the entry gave the request up while it waited"
+            message = "the entry cancelled the request, or its deadline passed, while it was queued"
             return Err(Failure(Reason.DEADLINE, Verdict.NOT_RUN, message))
         sent = self.client.call(
             call.method,
@@ -112,34 +114,34 @@
         )
         if isinstance(sent, Err):
             self.gate.release()
-            return Err(self._judge_call(call, sent.err_value))
-        return Ok((sent.ok_value, began_s))
+            return Err(self._classify_call_error(call, sent.err_value))
+        return Ok((sent.ok_value, started_s))
 
-    def _read_whole(
-        self, call: InnerCall, answer: Answer, began_s: float
+    def _read_buffered(
+        self, call: InnerCall, answer: Answer, started_s: float
     ) -> Result[KeptAnswer, Failure]:
         try:
             body = answer.read()
         except AnswerCutError:
             ruling = judge_failure(Step.RELAY_ANSWER, repeatable=call.repeatable)
-            message = "the upstream's answer was cut short"
+            message = "the upstream's response was truncated"
             return Err(
                 Failure(Reason.UPSTREAM_FAILED, ruling.verdict, message, may_retry=ruling.may_retry)
             )
         finally:
-            self.gate.release((read_clock() - began_s) * _MS_PER_S)
+            self.gate.release((read_clock() - started_s) * _MS_PER_S)
         headers = hdr.strip_own(answer.end_to_end_headers())
         return Ok(KeptAnswer(answer.status, headers, body))
 
-    def _relay(self, answer: Answer, began_s: float) -> Iterator[bytes]:
-        """Yield the answer as it comes; the permit is held until its end or its cancel."""
+    def _relay(self, answer: Answer, started_s: float) -> Iterator[bytes]:
+        """Yield the response as it arrives; the permit is held until it ends or is cancelled."""
         try:
             yield from answer.stream()
         finally:
             answer.close()
-            self.gate.release((read_clock() - began_s) * _MS_PER_S)
+            self.gate.release((read_clock() - started_s) * _MS_PER_S)
 
-    def _judge_call(self, call: InnerCall, error: CallError) -> Failure:
+    def _classify_call_error(self, call: InnerCall, error: CallError) -> Failure:
         step = Step.AWAIT_ANSWER if error.sent else Step.CONNECT_UPSTREAM
         ruling = judge_failure(step, repeatable=call.repeatable)
         reason = Reason.UPSTREAM_FAILED if error.sent else Reason.UPSTREAM_UNREACHABLE
@@ -160,23 +162,23 @@
             may_retry=ruling.may_retry,
         )
 
-    def _respond_whole(self, kept: KeptAnswer) -> HttpResponse:
-        return self._respond_kept(kept, is_replay=False)
+    def _build_first_response(self, kept: KeptAnswer) -> HttpResponse:
+        return self._build_response(kept, is_replay=False)
 
-    def _respond_kept(self, kept: KeptAnswer, *, is_replay: bool) -> HttpResponse:
-        headers = {**kept.headers, **self._own_headers()}
+    def _build_response(self, kept: KeptAnswer, *, is_replay: bool) -> HttpResponse:
+        headers = {**kept.headers, **self._sidecar_headers()}
         if is_replay:
             headers[hdr.REPLAYED] = "true"
         return HttpResponse(kept.status, headers, kept.body)
 
-    def _answer_headers(self, answer: Answer) -> dict[str, str]:
-        return {**hdr.strip_own(answer.end_to_end_headers()), **self._own_headers()}
+    def _relayed_headers(self, answer: Answer) -> dict[str, str]:
+        return {**hdr.strip_own(answer.end_to_end_headers()), **self._sidecar_headers()}
 
-    def _own_headers(self) -> dict[str, str]:
+    def _sidecar_headers(self) -> dict[str, str]:
         return {hdr.VERDICT: Verdict.RAN, hdr.UPSTREAM: self.upstream, hdr.LOAD: self.format_load()}
 
     def format_load(self) -> str:
-        """Return the gate's load as the header that rides on every answer."""
+        """Return the gate's load as the value of the header sent with every response."""
         load = self.gate.load()
         return f"{load.running},{load.waiting},{load.slots},{load.service_ms}"
 
--- a/dalehollow/sidecar/ownership.py
+++ b/dalehollow/sidecar/ownership.py
@@ -1,4 +1,4 @@
-"""Decide whether this sidecar may take a key, and keep the tables of those it took."""
+"""Decide whether this sidecar may accept a key, and hold the tables of accepted keys."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass
 class Ownership:
-    """Hold the key tables of one sidecar, one for each service; `member` is name@address."""
+    """Hold the key tables of one sidecar, one per service; `member` is name@address."""
 
     member: str
     holder: ConfigHolder
@@ -36,18 +36,18 @@
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def admit(self, call: InnerCall, now_ms: int) -> Result[KeyTable, Failure]:
-        """Return the table for a call's key, or the refusal if the key is not ours to take."""
+        """Return the table for a call's key, or a failure if this sidecar may not accept it."""
         in_force = self.holder.in_force
         service = in_force.config.services.get(call.service) if in_force.config else None
         if service is None or call.key is None:
-            return Err(_unconfirmed(f"service {call.service!r} is not configured here"))
+            return Err(_ownership_unconfirmed(f"service {call.service!r} is not configured here"))
         refusal = self._check_owner(in_force, service, call, now_ms)
         if refusal is not None:
             return Err(refusal)
-        return Ok(self._table_of(service, in_force))
+        return Ok(self._get_table(service, in_force))
 
     def make_snapshot(self, now_ms: int) -> Snapshot:
-        """Return all that is known, for the next incarnation."""
+        """Return the records of all tables, for the next incarnation."""
         with self._lock:
             tables = dict(self._tables)
         cfg = self.holder.in_force.config
@@ -62,7 +62,7 @@
         )
 
     def counts(self) -> dict[str, int]:
-        """Return how many keys each service's table holds."""
+        """Return the number of keys in each service's table."""
         with self._lock:
             return {name: table.count() for name, table in self._tables.items()}
 
@@ -83,22 +83,26 @@
             memory_ms=service.key_window_ms + 2 * clock_bound_ms,
         )
         if owner is None or owner.member != self.member:
-            return _unconfirmed(f"{self.member!r} does not own this key")
+            return _ownership_unconfirmed(f"{self.member!r} does not own this key")
         if not owner.settled:
-            message = "the key is undated and its owner changed; it may have run at the old owner"
+            message = (
+                "the key has no timestamp and its owner changed; the previous owner may have run it"
+            )
             return Failure(Reason.KEY_OUTCOME_UNKNOWN, Verdict.MAY_HAVE_RUN, message)
         time_ms = now_ms if call.birth_ms is None else call.birth_ms
         horizon_ms = self.holder.confirmed_at_ms + service.ownership_horizon_ms
         if time_ms > horizon_ms:
-            return _unconfirmed("the configuration was not confirmed for too long")
+            return _ownership_unconfirmed(
+                "the configuration was last confirmed longer ago than the ownership horizon"
+            )
         return None
 
-    def _table_of(self, service: Service, in_force: InForce) -> KeyTable:
+    def _get_table(self, service: Service, in_force: InForce) -> KeyTable:
         assert in_force.config is not None
         with self._lock:
             table = self._tables.get(service.name)
             if table is None:
-                # Fixed for this incarnation: a window that grew would admit forgotten keys.
+                # Fixed for this incarnation: a larger window would admit keys already dropped.
                 limits = KeyTableLimits(
                     capacity=service.key_capacity,
                     answer_bytes=ANSWER_BYTES_PER_TABLE,
@@ -117,7 +121,7 @@
         return table
 
 
-def _unconfirmed(message: str) -> Failure:
+def _ownership_unconfirmed(message: str) -> Failure:
     return Failure(
         Reason.OWNERSHIP_UNCONFIRMED,
         Verdict.NOT_RUN,
--- a/dalehollow/sidecar/process.py
+++ b/dalehollow/sidecar/process.py
@@ -1,4 +1,4 @@
-"""Run a sidecar: its servers, its configuration and its planned stop."""
+"""Run a sidecar: its servers, configuration and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     """Hold the state of one sidecar process."""
 
     def __init__(self, settings: Settings) -> None:
-        """Bind the servers; nothing is served before start."""
+        """Bind the servers; no request is handled before `start`."""
         assert settings.upstream is not None and settings.upstream_http is not None
         self.settings = settings
         self.upstream = settings.upstream
@@ -62,7 +62,7 @@
         self.kv: KeyValue | None = HttpKeyValue(settings.platform) if settings.platform else None
         limit_ms = draw_poll_limit_ms(settings.name, settings.poll_min_ms, settings.poll_max_ms)
         self.spreader = Spreader(limit_ms, self.holder, self.kv)
-        # One request at a time until a configuration says how much the upstream can take.
+        # One request at a time until a configuration gives the upstream's capacity.
         self.gate = Gate(GateLimits(slots=1, urgent_extra=0, queue_limit=0), read_clock)
         host, port = split_address(settings.http)
         self.server = HttpServer(host, port, self.handle, name="dalehollow")
@@ -82,8 +82,8 @@
         host, port = split_address(settings.control)
         self.control = ControlServer(host, port, self.handle_control)
         self.peers = PeerTasks(
-            self._make_beat,
-            self._take_reply,
+            self._make_heartbeat,
+            self._handle_peer_reply,
             settings.beat_interval_ms,
             settings.control_bytes_per_s,
         )
@@ -102,7 +102,7 @@
         self.metrics.watch_gauge("config_version", lambda: self.holder.version)
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Claim the incarnation, then start the servers and the background threads."""
         self.ownership.claim = self._claim_incarnation()
         self.peers.keep({address: address for address in self.settings.peers})
         self.spreader.poll()
@@ -111,11 +111,11 @@
         self.server.start()
 
     def stop(self) -> int:
-        """Refuse new work, let what runs finish, and return how many requests were cut off."""
+        """Reject new requests, drain running ones and return how many were aborted."""
         self.is_leaving = True
         self.gate.close()
         log_event(_log, "leaving", running=self.gate.load().running)
-        # Peers hear of the leaving on their next beat, and from every refusal until then.
+        # Peers learn of the shutdown from the next heartbeat, and from every refusal until then.
         time.sleep(self.settings.leave_ms / _MS_PER_S)
         self.server.begin_closing()
         left = self.server.wait_idle(self.settings.drain_timeout_ms / _MS_PER_S)
@@ -125,12 +125,12 @@
         self.peers.stop()
         self.ranks.stop()
         if not left:
-            self._leave_snapshot()
+            self._store_snapshot()
         log_event(_log, "stopped", cut_off=left)
         return left
 
     def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer one HTTP request from an entry."""
+        """Handle one HTTP request from an entry."""
         if req.path == "/dalehollow/metrics":
             return HttpResponse(200, {"content-type": "text/plain"}, self.metrics.expose().encode())
         called = read_call(req, self.settings.inner_key, read_clock())
@@ -141,11 +141,11 @@
         return response
 
     def handle_control(self, request: Request) -> Reply:
-        """Answer one message from a peer."""
+        """Handle one control message from a peer."""
         match request:
             case Beat():
                 self.spreader.hear(request.version, request.confirmed_at_ms, request.address)
-                return self._make_beat_reply()
+                return self._make_heartbeat_reply()
             case FetchManifest() | FetchParts():
                 return self.spreader.answer(request)
             case Dump():
@@ -153,7 +153,7 @@
             case VoteQuery() | Prepare() | RankQuery():
                 return self.ranks.answer(request)
             case AskShares():
-                return Refused("a sidecar hands out no shares of account limits")
+                return Refused("a sidecar does not allocate shares of account limits")
 
     def dump(self) -> dict[str, object]:
         """Return the state of this process."""
@@ -176,7 +176,7 @@
             "counts": self.metrics.counts(),
         }
 
-    def _make_beat(self) -> Beat:
+    def _make_heartbeat(self) -> Beat:
         return Beat(
             self.settings.name,
             self.control.address,
@@ -184,12 +184,12 @@
             self.holder.confirmed_at_ms,
         )
 
-    def _take_reply(self, address: str, asked: Result[Reply, str]) -> None:
+    def _handle_peer_reply(self, address: str, asked: Result[Reply, str]) -> None:
         if isinstance(asked, Ok) and isinstance(asked.ok_value, BeatReply):
             reply = asked.ok_value
             self.spreader.hear(reply.version, reply.confirmed_at_ms, address)
 
-    def _make_beat_reply(self) -> BeatReply:
+    def _make_heartbeat_reply(self) -> BeatReply:
         load = self.gate.load()
         return BeatReply(
             sender=self.settings.name,
@@ -206,20 +206,20 @@
     def _apply(self, in_force: InForce) -> None:
         cfg = in_force.config
         assert cfg is not None
-        mine = cfg.upstreams.get(self.upstream)
+        own_upstream = cfg.upstreams.get(self.upstream)
         services = cfg.services_of(self.upstream)
-        if mine is None or not services:
+        if own_upstream is None or not services:
             return
         self.gate.resize(
             GateLimits(
-                slots=mine.slots,
+                slots=own_upstream.slots,
                 urgent_extra=max(s.urgent_extra_slots for s in services),
                 queue_limit=max(s.queue_limit for s in services),
             )
         )
 
     def _claim_incarnation(self) -> Claim | None:
-        """Claim to be the one that runs here, and learn what the last one left."""
+        """Claim to be the running incarnation and load the previous one's snapshot."""
         if self.kv is None:
             return None
         claimed = claim_incarnation(self.kv, self.ownership.member)
@@ -228,8 +228,8 @@
         log_event(_log, "claim_failed", logging.WARNING, error=claimed.err_value)
         return None
 
-    def _leave_snapshot(self) -> None:
-        """Leave the taken keys to the next incarnation, once nothing can add to them."""
+    def _store_snapshot(self) -> None:
+        """Store the accepted keys for the next incarnation, once no more can be added."""
         claim = self.ownership.claim
         if self.kv is None or claim is None:
             return
--- a/dalehollow/sidecar/rank_service.py
+++ b/dalehollow/sidecar/rank_service.py
@@ -1,4 +1,4 @@
-"""Follow the configuration: which groups have ranks behind this sidecar."""
+"""Keep this sidecar's rank groups in line with the configuration."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class RankService:
-    """Hold this sidecar's part in each group of the configuration."""
+    """Hold this sidecar's ranks of each configured group."""
 
     upstream: str
     name: str
@@ -27,38 +27,38 @@
     groups: dict[str, GroupRanks] = field(default_factory=dict)
 
     def apply(self, in_force: InForce) -> None:
-        """Begin with new groups, end with those that are gone and follow addresses."""
+        """Start new groups, stop removed or changed ones and update peer addresses."""
         cfg = in_force.config
         assert cfg is not None
-        mine = {g.name: g for g in cfg.groups.values() if self.upstream in g.ranks}
+        own_groups = {g.name: g for g in cfg.groups.values() if self.upstream in g.ranks}
         for name, ranks in list(self.groups.items()):
-            if mine.get(name) != ranks.group:
+            if own_groups.get(name) != ranks.group:
                 ranks.stop()
                 del self.groups[name]
-        for name, group in mine.items():
+        for name, group in own_groups.items():
             if name not in self.groups:
-                self.groups[name] = self._begin(group, cfg)
-            self.groups[name].follow(cfg)
+                self.groups[name] = self._start_group(group, cfg)
+            self.groups[name].update_peers(cfg)
 
     def answer(self, request: VoteQuery | Prepare | RankQuery) -> Reply:
-        """Answer for the group that a message names."""
+        """Handle a message with the group that it names."""
         ranks = self.groups.get(request.group)
         if ranks is None:
-            return Refused(f"group {request.group!r} has no rank behind {self.upstream!r}")
+            return Refused(f"group {request.group!r} has no rank at upstream {self.upstream!r}")
         return ranks.answer(request)
 
     def stop(self) -> None:
-        """Stop all groups' parts."""
+        """Stop all groups."""
         for ranks in self.groups.values():
             ranks.stop()
 
-    def _begin(self, group: Group, cfg: Config) -> GroupRanks:
+    def _start_group(self, group: Group, cfg: Config) -> GroupRanks:
         duty = None
         if self.kv is not None:
             duty = Duty(self.kv, f"duty/{group.name}", self.name, read_clock)
         ranks = GroupRanks(
             group, self.upstream, self.host, duty, self.plan_interval_ms, self.plan_max_moves
         )
-        ranks.follow(cfg)
+        ranks.update_peers(cfg)
         ranks.start()
         return ranks
--- a/dalehollow/sidecar/ranks.py
+++ b/dalehollow/sidecar/ranks.py
@@ -1,4 +1,4 @@
-"""Serve the ranks whose engine stands behind this sidecar, and take the planning duty in turn."""
+"""Serve the ranks of this sidecar's engine and compete for their group's planner lease."""
 
 from __future__ import annotations
 
@@ -30,27 +30,27 @@
 from dalehollow.protocol.link import PeerLink
 from dalehollow.telemetry.logs import log_event
 
-ASK_TIMEOUT_MS = 500
-LOAD_POLL_S = 0.05
+PEER_REQUEST_TIMEOUT_MS = 500
+LOAD_POLL_INTERVAL_S = 0.05
 _MS_PER_S = 1000
 _log = logging.getLogger(__name__)
 
 
 @dataclass
 class _Peer:
-    """Hold the link to another rank's sidecar, for one question at a time."""
+    """Hold the link to another rank's sidecar; sends one request at a time."""
 
     link: PeerLink
     lock: threading.Lock = field(default_factory=threading.Lock)
 
     def ask(self, request: Request) -> Result[Reply, str]:
         with self.lock:
-            return self.link.ask(request, timeout_ms=ASK_TIMEOUT_MS)
+            return self.link.ask(request, timeout_ms=PEER_REQUEST_TIMEOUT_MS)
 
 
 @dataclass
 class GroupRanks:
-    """Hold this sidecar's ranks of one group and its part in the duty."""
+    """Serve this sidecar's ranks of one group; `duty` is the group's planner lease."""
 
     group: Group
     upstream: str
@@ -64,14 +64,18 @@
     _stopping: threading.Event = field(default_factory=threading.Event)
 
     def __post_init__(self) -> None:
-        """Prepare a voter for each of our ranks and a planner that waits for the duty."""
+        """Create a voter for each local rank, and a planner that runs while the lease is held."""
         for rank, name in enumerate(self.group.ranks):
             if name == self.upstream:
                 self.voters[rank] = RankVoter(
-                    self.group.name, rank, len(self.group.ranks), self.host, self._vote
+                    self.group.name, rank, len(self.group.ranks), self.host, self._request_vote
                 )
         links = GroupLinks(
-            self._read, self._load, self._vote, self._read_map, lambda: _wait(self._stopping)
+            self._read_rank_state,
+            self._request_load,
+            self._request_vote,
+            self._read_map,
+            lambda: _wait(self._stopping),
         )
         self.planner = Planner(
             self.group.name,
@@ -81,8 +85,8 @@
             self.plan_max_moves,
         )
 
-    def follow(self, cfg: Config) -> None:
-        """Link to the group's other sidecars at their addresses in the configuration."""
+    def update_peers(self, cfg: Config) -> None:
+        """Connect to the group's other sidecars at their configured addresses."""
         for name in set(self.group.ranks) - {self.upstream}:
             address = cfg.upstreams[name].control
             known = self._peers.get(name)
@@ -90,15 +94,15 @@
                 self._peers[name] = _Peer(PeerLink(address))
 
     def start(self) -> None:
-        """Take up what the engine is armed for, and begin to seek the duty."""
+        """Resume any switch the engine is armed for and start competing for the planner lease."""
         for voter in self.voters.values():
             voter.resume()
         if self.duty is not None:
-            threading.Thread(target=self._keep_duty, name="duty", daemon=True).start()
-            threading.Thread(target=self._plan, name="planner", daemon=True).start()
+            threading.Thread(target=self._run_duty_loop, name="duty", daemon=True).start()
+            threading.Thread(target=self._run_planner_loop, name="planner", daemon=True).start()
 
     def stop(self) -> None:
-        """Give the duty up; what is armed stays with the engine."""
+        """Release the planner lease; a switch that is armed stays armed in the engine."""
         self._stopping.set()
         for voter in self.voters.values():
             voter.stop()
@@ -106,9 +110,9 @@
             self.duty.release()
 
     def answer(self, request: VoteQuery | Prepare | RankQuery) -> Reply:
-        """Answer a planner or another rank's gate."""
+        """Handle a message from a planner or from another rank's sidecar."""
         if request.rank not in self.voters:
-            return Refused(f"rank {request.rank} is not behind {self.upstream!r}")
+            return Refused(f"rank {request.rank} is not at upstream {self.upstream!r}")
         match request:
             case VoteQuery():
                 return self._answer_vote(request)
@@ -118,7 +122,7 @@
                 return self._answer_rank(request)
 
     def dump(self) -> dict[str, object]:
-        """Return this group's state and the planner's last decision with its reason."""
+        """Return the group's state and the reason for the planner's last decision."""
         fence = self.duty.fence() if self.duty is not None else None
         return {
             "group": self.group.name,
@@ -131,19 +135,19 @@
             "settled": count_outcomes(self.voters),
         }
 
-    def _keep_duty(self) -> None:
+    def _run_duty_loop(self) -> None:
         assert self.duty is not None
-        # The lower ranks' sidecars ask first, so that a take-over is seldom contested.
+        # Staggered by rank: lower ranks try first, so that a takeover is seldom contested.
         offset_ms = 50 * min(self.voters, default=0)
         _wait(self._stopping, offset_ms / _MS_PER_S)
         while not self._stopping.is_set():
-            had = self.duty.fence()
-            has = self.duty.advance()
-            if has != had:
-                log_event(_log, "duty", group=self.group.name, fence=has)
+            previous_fence = self.duty.fence()
+            current_fence = self.duty.advance()
+            if current_fence != previous_fence:
+                log_event(_log, "duty", group=self.group.name, fence=current_fence)
             _wait(self._stopping, RENEW_MS / _MS_PER_S)
 
-    def _plan(self) -> None:
+    def _run_planner_loop(self) -> None:
         while not self._stopping.is_set():
             _wait(self._stopping, self.plan_interval_ms / _MS_PER_S)
             fence = self.duty.fence() if self.duty is not None else None
@@ -151,8 +155,8 @@
                 self.planner.run_once(fence)
 
     def _answer_vote(self, request: VoteQuery) -> Reply:
-        vote = self.voters[request.rank].vote(_proposal_of(request))
-        return VoteReply(request.rank, _VOTE_WORDS[vote])
+        vote = self.voters[request.rank].vote(_make_proposal(request))
+        return VoteReply(request.rank, _VOTE_VALUES[vote])
 
     def _answer_prepare(self, request: Prepare) -> Reply:
         order = LoadOrder(request.fence, request.base_digest, request.map_digest, request.changes)
@@ -177,13 +181,15 @@
             counts=state.counts,
         )
 
-    def _ask(self, rank: int, request: VoteQuery | Prepare | RankQuery) -> Result[Reply, str]:
+    def _send_to_rank(
+        self, rank: int, request: VoteQuery | Prepare | RankQuery
+    ) -> Result[Reply, str]:
         if rank in self.voters:
             return Ok(self.answer(request))
         peer = self._peers.get(self.group.ranks[rank])
-        return Err("no address") if peer is None else peer.ask(request)
+        return Err("peer address unknown") if peer is None else peer.ask(request)
 
-    def _vote(self, rank: int, proposal: Proposal) -> Result[Vote, str]:
+    def _request_vote(self, rank: int, proposal: Proposal) -> Result[Vote, str]:
         query = VoteQuery(
             self.group.name,
             rank,
@@ -193,42 +199,42 @@
             proposal.switch_step,
             proposal.map_digest,
         )
-        asked = self._ask(rank, query)
+        asked = self._send_to_rank(rank, query)
         if isinstance(asked, Ok) and isinstance(asked.ok_value, VoteReply):
             return Ok(Vote(asked.ok_value.vote))
-        return Err(f"no vote of rank {rank}")
+        return Err(f"rank {rank} returned no vote")
 
-    def _read(self, rank: int) -> Result[RankState, str]:
-        asked = self._ask(rank, RankQuery(self.group.name, rank))
+    def _read_rank_state(self, rank: int) -> Result[RankState, str]:
+        asked = self._send_to_rank(rank, RankQuery(self.group.name, rank))
         if not (isinstance(asked, Ok) and isinstance(asked.ok_value, RankReply)):
-            return Err(f"no word of rank {rank}")
+            return Err(f"rank {rank} returned no state")
         reply = asked.ok_value
-        armed = _UNDECIDED if reply.is_undecided else None
+        armed = _UNDECIDED_PROPOSAL if reply.is_undecided else None
         ledger = Ledger(reply.step, reply.version, reply.map_digest, armed=armed)
         return Ok(RankState(ledger, reply.step_ms, reply.counts))
 
-    def _load(self, rank: int, order: LoadOrder) -> Result[LoadState, str]:
+    def _request_load(self, rank: int, order: LoadOrder) -> Result[LoadState, str]:
         request = Prepare(
             self.group.name, rank, order.fence, order.base_digest, order.map_digest, order.changes
         )
-        asked = self._ask(rank, request)
+        asked = self._send_to_rank(rank, request)
         if isinstance(asked, Ok) and isinstance(asked.ok_value, PrepareReply):
             return Ok(asked.ok_value.state)
-        return Err(f"rank {rank} did not take the order")
+        return Err(f"rank {rank} did not accept the load order")
 
     def _read_map(self) -> Result[ExpertMap, str]:
         return self.host.read_map(min(self.voters))
 
 
-_VOTE_WORDS: dict[Vote, Literal["yes", "no", "pending"]] = {
+_VOTE_VALUES: dict[Vote, Literal["yes", "no", "pending"]] = {
     Vote.YES: "yes",
     Vote.NO: "no",
     Vote.PENDING: "pending",
 }
-_UNDECIDED = Proposal(ProposalId(0, 0), 0, 0, "")
+_UNDECIDED_PROPOSAL = Proposal(ProposalId(0, 0), 0, 0, "")
 
 
-def _proposal_of(query: VoteQuery) -> Proposal:
+def _make_proposal(query: VoteQuery) -> Proposal:
     return Proposal(
         ProposalId(query.fence, query.sequence),
         query.base_version,
@@ -237,5 +243,5 @@
     )
 
 
-def _wait(stopping: threading.Event, seconds: float = LOAD_POLL_S) -> None:
+def _wait(stopping: threading.Event, seconds: float = LOAD_POLL_INTERVAL_S) -> None:
     stopping.wait(seconds)
