--- a/dalehollow/entry/serve.py
+++ b/dalehollow/entry/serve.py
@@ -18,7 +18,7 @@
 from dalehollow.errors import Failure, Reason
 from dalehollow.limits import RetryBudget
 from dalehollow.membership import UpstreamView
-from dalehollow.once import find_owner, read_birth_ms
+from dalehollow.once import find_owner, read_key_created_at_ms
 from dalehollow.protocol import headers as hdr
 from dalehollow.telemetry.logs import log_event
 from dalehollow.verdict import Verdict
@@ -95,9 +95,9 @@
         owner = find_owner(
             tuple(in_force.manifest.generations.get(job.service.name, ())),
             job.scope,
-            read_birth_ms(job.key),
+            read_key_created_at_ms(job.key),
             now_ms=self.wall_ms(),
-            memory_ms=job.service.key_window_ms + 2 * in_force.config.clock_bound_ms,
+            retention_ms=job.service.key_window_ms + 2 * in_force.config.clock_bound_ms,
         )
         if owner is None:
             return Err(_no_usable_upstream(job))
--- a/dalehollow/once/__init__.py
+++ b/dalehollow/once/__init__.py
@@ -1,8 +1,8 @@
-"""Run a request that must not repeat at most once, whatever entry its retries reach."""
+"""Run a request with an idempotency key at most once, whichever entry its retries reach."""
 
 from __future__ import annotations
 
-from dalehollow.once.birth import read_birth_ms
+from dalehollow.once.birth import read_key_created_at_ms
 from dalehollow.once.owners import Generation, Owner, extend_generations, find_owner, make_scope
 from dalehollow.once.table import (
     NEVER_MS,
@@ -25,5 +25,5 @@
     "extend_generations",
     "find_owner",
     "make_scope",
-    "read_birth_ms",
+    "read_key_created_at_ms",
 ]
--- a/dalehollow/once/handover.py
+++ b/dalehollow/once/handover.py
@@ -1,9 +1,10 @@
-"""Hand an owner's keys to its next incarnation over a planned stop.
+"""Transfer an owner's keys to its next incarnation across a graceful shutdown.
 
-The platform holds two things for each owner: who runs (the incarnation record) and, after a
-planned stop, the keys it had taken. A new incarnation first claims the record by a swap; only
-if the record it replaced says "ended", with the digest of a snapshot that is there, does the new
-one know all that was taken. After a crash, or when the platform cannot be reached, it does not.
+The platform stores two values per owner: the incarnation record, which names the running
+incarnation, and, after a graceful shutdown, a snapshot of the keys it accepted. A new incarnation
+first claims the record by compare-and-swap. It knows all accepted keys only if the record it
+replaced holds the digest of a snapshot that is present. After a crash, or when the platform is
+unreachable, it must assume that earlier keys may have run.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 from dalehollow.platform.keyvalue import KeyValue
 
 MAX_SNAPSHOT_BYTES = 900_000
-_ATTEMPTS = 3
+_MAX_ATTEMPTS = 3
 
 
 @dataclass(frozen=True)
 class Incarnation:
-    """Tell who runs as an owner; `snapshot_digest` is set once that one has ended as planned."""
+    """Name an owner's incarnation; `snapshot_digest` is set once it has shut down gracefully."""
 
     mark: str
     snapshot_digest: str | None = None
@@ -34,9 +35,9 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """Hold the records of all tables by service, and from when on they are complete.
+    """Hold the records of all tables by service, and the times from which they are complete.
 
-    `others_complete_from_ms` speaks for services of which no key was taken.
+    `others_complete_from_ms` applies to services for which no key was accepted.
     """
 
     others_complete_from_ms: int
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """Hold this incarnation's mark, and the snapshot that it may build on if there is one."""
+    """Hold this incarnation's mark, and the previous incarnation's snapshot if it is valid."""
 
     mark: str
     is_first: bool
@@ -62,7 +63,7 @@
 
 
 def claim_incarnation(kv: KeyValue, member: str) -> Result[Claim, PlatformError]:
-    """Claim to be the owner's running incarnation, and learn what the last one left."""
+    """Claim to be the owner's running incarnation and load the previous one's snapshot."""
     mark = uuid.uuid4().hex
     found = kv.get(_record_key(member))
     if isinstance(found, Err):
@@ -73,27 +74,29 @@
         return Err(claimed.err_value)
     if entry.revision == 0:
         return Ok(Claim(mark, is_first=True, snapshot=None))
-    before = msgspec.json.decode(entry.value, type=Incarnation)
-    snapshot = _read_snapshot(kv, member, before.snapshot_digest)
+    previous = msgspec.json.decode(entry.value, type=Incarnation)
+    snapshot = _read_snapshot(kv, member, previous.snapshot_digest)
     return Ok(Claim(mark, is_first=False, snapshot=snapshot))
 
 
-def leave_snapshot(
+def store_snapshot(
     kv: KeyValue, member: str, mark: str, snapshot: Snapshot
 ) -> Result[int, PlatformError]:
-    """Leave the keys for the next incarnation; return how many bytes they took.
+    """Store the keys for the next incarnation; return the snapshot size in bytes.
 
-    To be called only after the last request has ended: a key taken later would be lost.
+    Call only after the last request has ended: a key accepted later would be lost.
     """
     data = _encode_snapshot(snapshot)
     if data is None:
-        message = f"the keys take more than {MAX_SNAPSHOT_BYTES} bytes even without answers"
+        message = f"snapshot exceeds {MAX_SNAPSHOT_BYTES} bytes even without stored responses"
         return Err(PlatformError(message, may_have_written=False))
     record = kv.get(_record_key(member))
     if isinstance(record, Err):
         return Err(record.err_value)
     if msgspec.json.decode(record.ok_value.value, type=Incarnation).mark != mark:
-        return Err(PlatformError("another incarnation runs", may_have_written=False))
+        return Err(
+            PlatformError("another incarnation has claimed the record", may_have_written=False)
+        )
     written = _overwrite(kv, _snapshot_key(member), data)
     if isinstance(written, Err):
         return Err(written.err_value)
@@ -105,10 +108,10 @@
 def _swap_record(
     kv: KeyValue, member: str, revision: int, record: Incarnation
 ) -> Result[None, PlatformError]:
-    """Write the record, settling a lost answer by reading back."""
+    """Write the record; if the reply is lost, read it back to see whether it was written."""
     value = msgspec.json.encode(record)
-    failure = PlatformError("another incarnation came first", may_have_written=False)
-    for _ in range(_ATTEMPTS):
+    failure = PlatformError("another incarnation claimed the record first", may_have_written=False)
+    for _ in range(_MAX_ATTEMPTS):
         swapped = kv.swap(_record_key(member), value, expected_revision=revision)
         if isinstance(swapped, Ok) and swapped.ok_value.won:
             return Ok(None)
@@ -122,8 +125,8 @@
 
 
 def _overwrite(kv: KeyValue, key: str, value: bytes) -> Result[None, PlatformError]:
-    failure = PlatformError("the key kept changing", may_have_written=False)
-    for _ in range(_ATTEMPTS):
+    failure = PlatformError("key was changed concurrently on every attempt", may_have_written=False)
+    for _ in range(_MAX_ATTEMPTS):
         found = kv.get(key)
         if isinstance(found, Err):
             failure = found.err_value
@@ -146,15 +149,15 @@
 
 
 def _encode_snapshot(snapshot: Snapshot) -> bytes | None:
-    """Encode with the kept answers if they fit, without them if not, or not at all."""
+    """Encode with the stored responses if they fit, else without; None if still too large."""
     data = msgspec.msgpack.encode(snapshot)
     if len(data) <= MAX_SNAPSHOT_BYTES:
         return data
-    bare = {
+    without_answers = {
         service: {scope: _drop_answer(record) for scope, record in records.items()}
         for service, records in snapshot.records.items()
     }
-    data = msgspec.msgpack.encode(replace(snapshot, records=bare))
+    data = msgspec.msgpack.encode(replace(snapshot, records=without_answers))
     return data if len(data) <= MAX_SNAPSHOT_BYTES else None
 
 
@@ -162,17 +165,19 @@
     return KeyRecord(record.fingerprint, record.state, record.expires_at_ms)
 
 
-def settle_running(records: Mapping[str, KeyRecord]) -> dict[str, KeyRecord]:
-    """Return the records with those that still ran marked as unknown."""
-    settled = {}
+def mark_running_unknown(records: Mapping[str, KeyRecord]) -> dict[str, KeyRecord]:
+    """Return the records with those still running marked as unknown."""
+    resolved = {}
     for scope, record in records.items():
         state = KeyState.UNKNOWN if record.state is KeyState.RUNNING else record.state
-        settled[scope] = KeyRecord(record.fingerprint, state, record.expires_at_ms, record.answer)
-    return settled
+        resolved[scope] = KeyRecord(record.fingerprint, state, record.expires_at_ms, record.answer)
+    return resolved
 
 
-def complete_from(claim: Claim | None, service: str, started_at_ms: int, bound_ms: int) -> int:
-    """Return from which birth on a new incarnation's table is complete."""
+def get_complete_from_ms(
+    claim: Claim | None, service: str, started_at_ms: int, bound_ms: int
+) -> int:
+    """Return the key creation time from which a new incarnation's table is complete."""
     if claim is not None and claim.is_first:
         return NEVER_MS
     if claim is not None and claim.snapshot is not None:
--- a/dalehollow/once/table.py
+++ b/dalehollow/once/table.py
@@ -1,6 +1,6 @@
-"""Keep the keys that an owner has taken, and the answers of those that ran.
+"""Record the keys that an owner has accepted, and the responses of those that ran.
 
-The table never forgets a key inside its window: when it is full it refuses.
+The table never evicts a key within its retention window: when full, it refuses new keys.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from dalehollow.errors import Failure, Reason
 from dalehollow.verdict import Verdict
 
-RETRY_IN_PROGRESS_MS = 500
+RETRY_AFTER_IN_PROGRESS_MS = 500
 
 
 NEVER_MS = -(2**62)
-"""The `complete_from_ms` of an owner that never ran before."""
+"""The `complete_from_ms` of an owner that has no earlier incarnation."""
 
 
 class KeyState(enum.StrEnum):
-    """Name what is known of a key that was taken."""
+    """Name the state of an accepted key's request."""
 
     RUNNING = "running"
     DONE = "done"
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class KeptAnswer:
-    """Hold the first answer of a key, whole."""
+    """Hold the complete first response to a key."""
 
     status: int
     headers: Mapping[str, str]
@@ -41,13 +41,13 @@
 
     @property
     def size_bytes(self) -> int:
-        """Return what the answer counts against the table's memory."""
+        """Return the size counted against the table's memory limit."""
         return len(self.body) + sum(len(k) + len(v) for k, v in self.headers.items())
 
 
 @dataclass(frozen=True)
 class KeyTableLimits:
-    """Bound a table: entries, bytes of kept answers, and how long a key is remembered."""
+    """Limit a table: number of keys, bytes of stored responses and key retention time."""
 
     capacity: int
     answer_bytes: int
@@ -57,7 +57,7 @@
 
 @dataclass
 class KeyRecord:
-    """Hold what is known of one key."""
+    """Hold the state of one key."""
 
     fingerprint: str
     state: KeyState
@@ -69,8 +69,8 @@
 class KeyTable:
     """Hold one owner's keys.
 
-    Every key born after `complete_from_ms` that any incarnation of the owner took is here,
-    unless it has expired; what earlier keys came to may have been lost with an incarnation.
+    Contains every unexpired key created after `complete_from_ms` that any incarnation of the
+    owner accepted; the outcome of earlier keys may have been lost with an incarnation.
     """
 
     limits: KeyTableLimits
@@ -81,29 +81,29 @@
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def begin(
-        self, scope: str, fingerprint: str, birth_ms: int | None, now_ms: int
+        self, scope: str, fingerprint: str, key_created_at_ms: int | None, now_ms: int
     ) -> Result[KeptAnswer | None, Failure]:
-        """Take a key to run it (Ok of None), or return the first run's answer, or refuse."""
+        """Accept a new key (Ok of None), return the stored response, or fail."""
         with self._lock:
             self._expire(now_ms)
             record = self._records.get(scope)
             if record is not None:
-                return _answer_known(record, fingerprint)
-            refusal = self._refuse_unseen(birth_ms, now_ms)
+                return _resolve_known_key(record, fingerprint)
+            refusal = self._check_unseen_key(key_created_at_ms, now_ms)
             if refusal is not None:
                 return Err(refusal)
-            self._add(scope, fingerprint, birth_ms, now_ms)
+            self._add(scope, fingerprint, key_created_at_ms, now_ms)
             return Ok(None)
 
-    def forget(self, scope: str) -> None:
-        """Release a key whose request certainly did not run."""
+    def discard(self, scope: str) -> None:
+        """Remove a running key whose request certainly did not run."""
         with self._lock:
             record = self._records.get(scope)
             if record is not None and record.state is KeyState.RUNNING:
                 del self._records[scope]
 
     def finish(self, scope: str, answer: KeptAnswer) -> None:
-        """Keep the answer of a key that ran; without room, keep only that it ran."""
+        """Store a key's response; if it does not fit, record only that the request ran."""
         with self._lock:
             record = self._records.get(scope)
             if record is None:
@@ -114,7 +114,7 @@
                 self._answer_bytes += answer.size_bytes
 
     def mark_unknown(self, scope: str) -> None:
-        """Keep that a key's request may have run."""
+        """Record that a key's request may have run."""
         with self._lock:
             record = self._records.get(scope)
             if record is not None:
@@ -126,7 +126,7 @@
             return dict(self._records)
 
     def load(self, records: Mapping[str, KeyRecord]) -> None:
-        """Take over the records of an earlier incarnation."""
+        """Load the records of an earlier incarnation."""
         with self._lock:
             for scope, record in sorted(records.items(), key=lambda item: item[1].expires_at_ms):
                 self._records[scope] = record
@@ -138,9 +138,11 @@
         with self._lock:
             return len(self._records)
 
-    def _add(self, scope: str, fingerprint: str, birth_ms: int | None, now_ms: int) -> None:
-        # A dated key must be known until its birth is too old to be admitted at all.
-        base_ms = max(now_ms, birth_ms or 0)
+    def _add(
+        self, scope: str, fingerprint: str, key_created_at_ms: int | None, now_ms: int
+    ) -> None:
+        # A timestamped key must be kept until it is too old to be admitted.
+        base_ms = max(now_ms, key_created_at_ms or 0)
         expires_at_ms = base_ms + self.limits.window_ms + 2 * self.limits.clock_bound_ms
         self._records[scope] = KeyRecord(fingerprint, KeyState.RUNNING, expires_at_ms)
         self._expiry.append((expires_at_ms, scope))
@@ -159,50 +161,51 @@
             if record.answer is not None:
                 self._answer_bytes -= record.answer.size_bytes
 
-    def _refuse_unseen(self, birth_ms: int | None, now_ms: int) -> Failure | None:
-        """Refuse an unseen key that an earlier incarnation or an expired record may have run."""
+    def _check_unseen_key(self, key_created_at_ms: int | None, now_ms: int) -> Failure | None:
+        """Return the failure of an unseen key that may have run before or cannot be accepted."""
         limits = self.limits
-        if birth_ms is not None and birth_ms > now_ms + limits.clock_bound_ms:
+        if key_created_at_ms is not None and key_created_at_ms > now_ms + limits.clock_bound_ms:
             return Failure(
                 Reason.KEY_FROM_FUTURE,
                 Verdict.NOT_RUN,
-                f"key is dated {birth_ms - now_ms} ms ahead; at most {limits.clock_bound_ms} ms",
-                retry_after_ms=birth_ms - now_ms,
+                f"key timestamp is {key_created_at_ms - now_ms} ms in the future; "
+                f"at most {limits.clock_bound_ms} ms is allowed",
+                retry_after_ms=key_created_at_ms - now_ms,
             )
-        if birth_ms is not None and birth_ms < now_ms - limits.window_ms:
+        if key_created_at_ms is not None and key_created_at_ms < now_ms - limits.window_ms:
             return Failure(
                 Reason.KEY_EXPIRED,
                 Verdict.MAY_HAVE_RUN,
-                f"key is older than the window of {limits.window_ms} ms",
+                f"key is older than the retention window of {limits.window_ms} ms",
             )
-        if not self._is_complete_for(birth_ms, now_ms):
+        if not self._is_complete_for(key_created_at_ms, now_ms):
             return Failure(
                 Reason.KEY_OUTCOME_UNKNOWN,
                 Verdict.MAY_HAVE_RUN,
-                "the owner of this key was restarted and cannot tell whether it ran",
+                "the owner of this key restarted without its records; the request may have run",
             )
         if len(self._records) >= limits.capacity:
             return Failure(
                 Reason.KEY_TABLE_FULL,
                 Verdict.NOT_RUN,
-                f"the table of {limits.capacity} keys is full",
+                f"key table is full ({limits.capacity} keys)",
                 retry_after_ms=self._next_expiry_ms(now_ms),
             )
         return None
 
-    def _is_complete_for(self, birth_ms: int | None, now_ms: int) -> bool:
-        """Return whether a key of this birth would be here if it had been taken."""
-        if birth_ms is None:
+    def _is_complete_for(self, key_created_at_ms: int | None, now_ms: int) -> bool:
+        """Return whether a key created then would be in the table if it had been accepted."""
+        if key_created_at_ms is None:
             return now_ms > self.complete_from_ms + self.limits.window_ms
-        return birth_ms > self.complete_from_ms
+        return key_created_at_ms > self.complete_from_ms
 
     def _next_expiry_ms(self, now_ms: int) -> int:
         return max(1, self._expiry[0][0] - now_ms) if self._expiry else 1
 
 
-def _answer_known(record: KeyRecord, fingerprint: str) -> Result[KeptAnswer | None, Failure]:
+def _resolve_known_key(record: KeyRecord, fingerprint: str) -> Result[KeptAnswer | None, Failure]:
     if record.fingerprint != fingerprint:
-        message = "the key was used before for another request; this one was not run"
+        message = "the key was already used for a different request; this request was not run"
         return Err(Failure(Reason.KEY_REUSED, Verdict.NOT_RUN, message))
     if record.answer is not None:
         return Ok(record.answer)
@@ -211,12 +214,12 @@
             Failure(
                 Reason.KEY_IN_PROGRESS,
                 Verdict.MAY_HAVE_RUN,
-                "a request with this key is being run",
-                retry_after_ms=RETRY_IN_PROGRESS_MS,
+                "a request with this key is still running",
+                retry_after_ms=RETRY_AFTER_IN_PROGRESS_MS,
             )
         )
     if record.state is KeyState.DONE:
-        message = "a request with this key ran; its answer was not kept"
+        message = "a request with this key ran; its response was not stored"
         return Err(Failure(Reason.KEY_OUTCOME_UNKNOWN, Verdict.RAN, message))
-    message = "a request with this key may have run; its answer was lost"
+    message = "a request with this key may have run; its response was lost"
     return Err(Failure(Reason.KEY_OUTCOME_UNKNOWN, Verdict.MAY_HAVE_RUN, message))
--- a/dalehollow/sidecar/call.py
+++ b/dalehollow/sidecar/call.py
@@ -10,7 +10,7 @@
 
 from dalehollow.config.model import PRIORITIES
 from dalehollow.errors import Failure, Reason
-from dalehollow.once import make_scope, read_birth_ms
+from dalehollow.once import make_scope, read_key_created_at_ms
 from dalehollow.protocol import headers as hdr
 from dalehollow.verdict import Verdict
 from dalehollow.web import HttpRequest
@@ -40,9 +40,9 @@
         return make_scope(self.service, self.account, self.key)
 
     @property
-    def birth_ms(self) -> int | None:
+    def key_created_at_ms(self) -> int | None:
         """Return the creation time in the key, in Unix milliseconds; None if it has none."""
-        return None if self.key is None else read_birth_ms(self.key)
+        return None if self.key is None else read_key_created_at_ms(self.key)
 
     @property
     def fingerprint(self) -> str:
--- a/dalehollow/sidecar/forward.py
+++ b/dalehollow/sidecar/forward.py
@@ -54,7 +54,7 @@
             return admitted
         table = admitted.ok_value
         assert call.key is not None
-        begun = table.begin(call.scope, call.fingerprint, call.birth_ms, now_ms)
+        begun = table.begin(call.scope, call.fingerprint, call.key_created_at_ms, now_ms)
         if isinstance(begun, Err):
             return begun
         if begun.ok_value is not None:
@@ -68,7 +68,7 @@
             table.finish(call.scope, outcome.ok_value)
             return Ok(self._build_response(outcome.ok_value, is_replay=False))
         if outcome.err_value.verdict is Verdict.NOT_RUN:
-            table.forget(call.scope)
+            table.discard(call.scope)
         else:
             table.mark_unknown(call.scope)
         return outcome
--- a/dalehollow/sidecar/ownership.py
+++ b/dalehollow/sidecar/ownership.py
@@ -14,8 +14,8 @@
 from dalehollow.once.handover import (
     Claim,
     Snapshot,
-    complete_from,
-    settle_running,
+    get_complete_from_ms,
+    mark_running_unknown,
 )
 from dalehollow.sidecar.call import InnerCall
 from dalehollow.verdict import Verdict
@@ -53,12 +53,14 @@
         cfg = self.holder.in_force.config
         bound_ms = cfg.clock_bound_ms if cfg is not None else 0
         return Snapshot(
-            others_complete_from_ms=complete_from(self.claim, "", self.started_at_ms, bound_ms),
+            others_complete_from_ms=get_complete_from_ms(
+                self.claim, "", self.started_at_ms, bound_ms
+            ),
             complete_from_ms={
                 name: max(table.complete_from_ms, now_ms - table.limits.window_ms)
                 for name, table in tables.items()
             },
-            records={name: settle_running(table.records()) for name, table in tables.items()},
+            records={name: mark_running_unknown(table.records()) for name, table in tables.items()},
         )
 
     def counts(self) -> dict[str, int]:
@@ -78,20 +80,20 @@
         owner = find_owner(
             tuple(in_force.manifest.generations.get(service.name, ())),
             call.scope,
-            call.birth_ms,
+            call.key_created_at_ms,
             now_ms=now_ms,
-            memory_ms=service.key_window_ms + 2 * clock_bound_ms,
+            retention_ms=service.key_window_ms + 2 * clock_bound_ms,
         )
         if owner is None or owner.member != self.member:
             return _ownership_unconfirmed(f"{self.member!r} does not own this key")
-        if not owner.settled:
+        if not owner.is_unambiguous:
             message = (
                 "the key has no timestamp and its owner changed; the previous owner may have run it"
             )
             return Failure(Reason.KEY_OUTCOME_UNKNOWN, Verdict.MAY_HAVE_RUN, message)
-        time_ms = now_ms if call.birth_ms is None else call.birth_ms
+        effective_ms = now_ms if call.key_created_at_ms is None else call.key_created_at_ms
         horizon_ms = self.holder.confirmed_at_ms + service.ownership_horizon_ms
-        if time_ms > horizon_ms:
+        if effective_ms > horizon_ms:
             return _ownership_unconfirmed(
                 "the configuration was last confirmed longer ago than the ownership horizon"
             )
@@ -115,7 +117,9 @@
 
     def _make_table(self, service: str, limits: KeyTableLimits) -> KeyTable:
         bound_ms = limits.clock_bound_ms
-        table = KeyTable(limits, complete_from(self.claim, service, self.started_at_ms, bound_ms))
+        table = KeyTable(
+            limits, get_complete_from_ms(self.claim, service, self.started_at_ms, bound_ms)
+        )
         if self.claim is not None and self.claim.snapshot is not None:
             table.load(self.claim.snapshot.records.get(service, {}))
         return table
--- a/dalehollow/sidecar/process.py
+++ b/dalehollow/sidecar/process.py
@@ -15,7 +15,7 @@
 from dalehollow.groups.host import HttpRankHost
 from dalehollow.limits import Gate, GateLimits
 from dalehollow.membership import PeerTasks
-from dalehollow.once.handover import Claim, claim_incarnation, leave_snapshot
+from dalehollow.once.handover import Claim, claim_incarnation, store_snapshot
 from dalehollow.platform.keyvalue import HttpKeyValue, KeyValue
 from dalehollow.protocol import (
     AskShares,
@@ -234,7 +234,7 @@
         if self.kv is None or claim is None:
             return
         snapshot = self.ownership.make_snapshot(wall_ms())
-        left = leave_snapshot(self.kv, self.ownership.member, claim.mark, snapshot)
+        left = store_snapshot(self.kv, self.ownership.member, claim.mark, snapshot)
         if isinstance(left, Ok):
             log_event(_log, "snapshot_left", bytes=left.ok_value)
         else:
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,4 +1,4 @@
-"""Test owners and key tables against a naive judge that remembers everything."""
+"""Test owners and key tables against a reference model that counts every run of every key."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     KeyTableLimits,
     extend_generations,
     find_owner,
-    read_birth_ms,
+    read_key_created_at_ms,
 )
 from dalehollow.verdict import Verdict
 
@@ -26,12 +26,12 @@
 ANSWER = KeptAnswer(200, {"content-type": "text/plain"}, b"paid")
 
 
-def make_uuid7(birth_ms: int, tail: int = 1) -> str:
-    return str(uuid.UUID(int=(birth_ms << 80) | (7 << 76) | (2 << 62) | tail))
+def make_uuid7(key_created_at_ms: int, tail: int = 1) -> str:
+    return str(uuid.UUID(int=(key_created_at_ms << 80) | (7 << 76) | (2 << 62) | tail))
 
 
 @pytest.mark.parametrize(
-    ("key", "birth_ms"),
+    ("key", "key_created_at_ms"),
     [
         (make_uuid7(1_700_000_000_123), 1_700_000_000_123),
         (make_uuid7(5).upper(), 5),
@@ -41,11 +41,11 @@
         ("", None),
     ],
 )
-def test_birth(key: str, birth_ms: int | None) -> None:
-    assert read_birth_ms(key) == birth_ms
+def test_key_creation_time(key: str, key_created_at_ms: int | None) -> None:
+    assert read_key_created_at_ms(key) == key_created_at_ms
 
 
-def test_finished_key_gets_its_first_answer() -> None:
+def test_finished_key_returns_its_first_answer() -> None:
     table = KeyTable(LIMITS, NEVER_MS)
     assert table.begin("k", "f", None, 10).unwrap() is None
     table.finish("k", ANSWER)
@@ -59,7 +59,7 @@
     assert (failure.reason, failure.verdict) == (Reason.KEY_REUSED, Verdict.NOT_RUN)
 
 
-def test_full_table_refuses_and_forgets_nothing() -> None:
+def test_full_table_refuses_and_evicts_nothing() -> None:
     table = KeyTable(LIMITS, NEVER_MS)
     for idx in range(4):
         table.begin(f"k{idx}", "f", None, 10).unwrap()
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("birth_ms", "now_ms", "reason"),
+    ("key_created_at_ms", "now_ms", "reason"),
     [
         (900, 1_100, Reason.KEY_OUTCOME_UNKNOWN),
         (1_040, 1_100, Reason.KEY_OUTCOME_UNKNOWN),
@@ -81,13 +81,13 @@
         (1_060, 2_100, Reason.KEY_EXPIRED),
     ],
 )
-def test_new_incarnation(birth_ms: int | None, now_ms: int, reason: Reason | None) -> None:
+def test_new_incarnation(key_created_at_ms: int | None, now_ms: int, reason: Reason | None) -> None:
     table = KeyTable(LIMITS, complete_from_ms=1_050)
-    begun = table.begin("k", "f", birth_ms, now_ms)
+    begun = table.begin("k", "f", key_created_at_ms, now_ms)
     assert (begun.unwrap_err().reason if begun.is_err() else None) is reason
 
 
-def test_generations_split_births() -> None:
+def test_generations_split_keys_by_creation_time() -> None:
     first = extend_generations(
         (), ("a", "b"), applied_at_ms=0, horizon_ms=100, clock_bound_ms=5, window_ms=50
     )
@@ -95,24 +95,24 @@
         first, ("c",), applied_at_ms=1_000, horizon_ms=100, clock_bound_ms=5, window_ms=50
     )
     assert both[1] == Generation(1_110, ("c",))
-    old = find_owner(both, "k", 1_109, now_ms=2_000, memory_ms=60)
-    new = find_owner(both, "k", 1_110, now_ms=2_000, memory_ms=60)
+    old = find_owner(both, "k", 1_109, now_ms=2_000, retention_ms=60)
+    new = find_owner(both, "k", 1_110, now_ms=2_000, retention_ms=60)
     assert old is not None and old.member in ("a", "b")
     assert new is not None and new.member == "c"
 
 
-def test_undated_key_is_unsettled_while_the_old_owner_may_remember_it() -> None:
+def test_owner_of_key_without_timestamp_is_ambiguous_while_the_old_owner_keeps_it() -> None:
     generations = (Generation(0, ("a",)), Generation(1_000, ("c",)))
-    during = find_owner(generations, "k", None, now_ms=1_030, memory_ms=60)
-    after = find_owner(generations, "k", None, now_ms=1_060, memory_ms=60)
-    assert during is not None and not during.settled
-    assert after is not None and after.settled
+    during = find_owner(generations, "k", None, now_ms=1_030, retention_ms=60)
+    after = find_owner(generations, "k", None, now_ms=1_060, retention_ms=60)
+    assert during is not None and not during.is_unambiguous
+    assert after is not None and after.is_unambiguous
 
 
 class AtMostOnce(RuleBasedStateMachine):
-    """Drive owners through restarts and configuration changes; count each key's runs.
+    """Drive owners through restarts and configuration changes, counting the runs of each key.
 
-    Old owners keep admitting under the configuration they last confirmed, as a cut-off one does.
+    Old owners keep admitting under their last confirmed configuration, as partitioned ones do.
     """
 
     HORIZON_MS = 300
@@ -155,7 +155,7 @@
         self.generations = self.extend(self.generations, members)
 
     @rule(member=st.sampled_from("abcd"))
-    def hear(self, member: str) -> None:
+    def confirm_configuration(self, member: str) -> None:
         self.known[member] = (self.generations, self.now_ms)
 
     @rule(member=st.sampled_from("abcd"))
@@ -167,7 +167,7 @@
 
     @rule(member=st.sampled_from("abcd"))
     def restart_as_planned(self, member: str) -> None:
-        """Hand the table to the next incarnation, which knows all that this one knew."""
+        """Pass the complete table to the next incarnation."""
         table = self.tables[member]
         successor = KeyTable(self.limits(), table.complete_from_ms)
         if self.seeded_fault != "empty_handover":
@@ -176,12 +176,12 @@
 
     @rule(
         age_ms=st.integers(-40, 900),
-        dated=st.booleans(),
+        has_timestamp=st.booleans(),
         outcome=st.sampled_from(["done", "lost", "not_run"]),
     )
-    def request(self, age_ms: int, dated: bool, outcome: str) -> None:
+    def request(self, age_ms: int, has_timestamp: bool, outcome: str) -> None:
         number = len(self.sent)
-        key = make_uuid7(self.now_ms - age_ms, number + 1) if dated else f"undated-{number}"
+        key = make_uuid7(self.now_ms - age_ms, number + 1) if has_timestamp else f"undated-{number}"
         self.sent.append(key)
         self.send_everywhere(key, outcome)
 
@@ -191,36 +191,36 @@
             self.send_everywhere(self.sent[-1 - pick % len(self.sent)], outcome)
 
     def send_everywhere(self, key: str, outcome: str) -> None:
-        """Send to each member, as retries through entries of all configurations would."""
+        """Send to each member, like retries through entries with different configurations."""
         for member in "abcd":
             self.send(member, key, outcome)
 
     def send(self, member: str, key: str, outcome: str) -> None:
-        """Send as an entry with this member's own, possibly old, configuration would."""
+        """Send like an entry with this member's configuration, which may be outdated."""
         generations, confirmed_ms = self.known[member]
-        birth_ms = read_birth_ms(key)
+        key_created_at_ms = read_key_created_at_ms(key)
         owner = find_owner(
             generations,
             key,
-            birth_ms,
+            key_created_at_ms,
             now_ms=self.now_ms,
-            memory_ms=self.WINDOW_MS + 2 * self.BOUND_MS,
+            retention_ms=self.WINDOW_MS + 2 * self.BOUND_MS,
         )
-        if owner is None or owner.member != member or not owner.settled:
+        if owner is None or owner.member != member or not owner.is_unambiguous:
             return
-        label_ms = self.now_ms if birth_ms is None else birth_ms
-        if self.seeded_fault != "no_confirmation" and label_ms > confirmed_ms + self.HORIZON_MS:
+        effective_ms = self.now_ms if key_created_at_ms is None else key_created_at_ms
+        if self.seeded_fault != "no_confirmation" and effective_ms > confirmed_ms + self.HORIZON_MS:
             return
         table = self.tables[member]
-        begun = table.begin(key, "f", birth_ms, self.now_ms)
+        begun = table.begin(key, "f", key_created_at_ms, self.now_ms)
         if begun.is_err() or begun.unwrap() is not None:
             return
         if outcome == "not_run":
-            table.forget(key)
+            table.discard(key)
             return
         self.runs.setdefault(key, 0)
-        if birth_ms is None:
-            self.count_undated(key)
+        if key_created_at_ms is None:
+            self.count_run_without_timestamp(key)
         else:
             self.runs[key] += 1
         if outcome == "done":
@@ -228,8 +228,8 @@
         else:
             table.mark_unknown(key)
 
-    def count_undated(self, key: str) -> None:
-        """Undated keys are promised at most one run inside a window."""
+    def count_run_without_timestamp(self, key: str) -> None:
+        """Count a run; keys without a timestamp run at most once within a window."""
         is_recent = self.now_ms - self.last_run_ms.get(key, -self.WINDOW_MS) < self.WINDOW_MS
         self.runs[key] = self.runs[key] + 1 if is_recent else 1
         self.last_run_ms[key] = self.now_ms
