--- a/tests/features/at_most_once.feature
+++ b/tests/features/at_most_once.feature
@@ -1,11 +1,11 @@
-Feature: A payment runs at most once and every refusal is true
+Feature: A payment runs at most once and every verdict is correct
 
   Scenario Outline: <fault> while a payment is at step <step>
-    Given a hall in which a payment is held at step <step>
-    When <fault> happens
-    And the caller asks again at another entry until it is told the outcome
+    Given a hall with a payment blocked at step <step>
+    When the fault <fault> is injected
+    And the client retries at another entry until the outcome is known
     Then the payment ran at most once
-    And every verdict that callers were given is true
+    And every verdict returned to clients is correct
 
     Examples:
       | step             | fault            |
--- a/tests/payment_bench.py
+++ b/tests/payment_bench.py
@@ -1,4 +1,4 @@
-"""Hold one payment at a step of its way, bring a fault about and ask again."""
+"""Run a hall in which a payment can be blocked at any step and faults can be injected."""
 
 from __future__ import annotations
 
@@ -26,42 +26,42 @@
 
 KEY = "demo-key-colombo"
 DEADLINE_MS = 1_500
-PATIENT_MS = 15_000
-"""Deadline of a payment that must be answered, however busy the machine is."""
-ASK_AGAIN_TIMES = 12
-FAST = {"leave_ms": 50, "poll_min_ms": 50, "poll_max_ms": 100, "beat_interval_ms": 100}
-_POLL_S = 0.01
-_WAIT_S = 20.0
+LONG_DEADLINE_MS = 15_000
+"""Deadline of a payment that must be answered, even on a heavily loaded machine."""
+MAX_RETRIES = 12
+FAST_SETTINGS = {"leave_ms": 50, "poll_min_ms": 50, "poll_max_ms": 100, "beat_interval_ms": 100}
+_POLL_INTERVAL_S = 0.01
+_WAIT_TIMEOUT_S = 20.0
 
 
 def wait_for(condition: Callable[[], bool], what: str) -> None:
-    """Wait until a condition that the bench can see holds."""
-    deadline_s = read_clock() + _WAIT_S
+    """Wait until a condition holds; fail after the timeout."""
+    deadline_s = read_clock() + _WAIT_TIMEOUT_S
     while not condition():
         if read_clock() > deadline_s:
-            raise AssertionError(f"never came about: {what}")
-        threading.Event().wait(_POLL_S)
+            raise AssertionError(f"timed out waiting for: {what}")
+        threading.Event().wait(_POLL_INTERVAL_S)
 
 
 def pick_free_address() -> str:
-    """Return a free address that a process and its successors can all bind."""
+    """Return a free address that a process and its restarts can bind."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
 def make_dated_key() -> str:
-    """Return a UUIDv7 of now."""
+    """Return a UUIDv7 with the current time."""
     return str(
-        uuid.UUID(int=(int(time.time() * 1000) << 80) | (7 << 76) | (2 << 62) | next(_TAILS))
+        uuid.UUID(int=(int(time.time() * 1000) << 80) | (7 << 76) | (2 << 62) | next(_KEY_TAILS))
     )
 
 
-_TAILS = itertools.count(int.from_bytes(os.urandom(4), "big"))
+_KEY_TAILS = itertools.count(int.from_bytes(os.urandom(4), "big"))
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """Hold what a caller was told; no verdict where the connection broke first."""
+    """Hold the outcome a client received; all None if the connection broke first."""
 
     status: int | None
     verdict: str | None
@@ -71,7 +71,7 @@
 
 @dataclass
 class PaymentBench:
-    """Hold a hall with two entries, one owner and a spare, and relays around the owner."""
+    """Hold a hall with two entries, an owner and a spare upstream, and relays at the owner."""
 
     launcher: Launcher
     platform: Running = field(init=False)
@@ -80,7 +80,7 @@
     entries: list[Running] = field(default_factory=list)
     to_sidecar: Relay = field(init=False)
     to_upstream: Relay = field(init=False)
-    # So long that no change of owners comes into force while the matrix runs.
+    # Long enough that no ownership change takes effect while the fault matrix runs.
     horizon_ms: int = 3_600_000
 
     def start(self) -> None:
@@ -94,7 +94,7 @@
         self.apply(("gate-1",))
 
     def _start_first_sidecar(self) -> None:
-        # The relay's address is what the configuration lists, so it must be known first.
+        # The configuration lists the relay's address, so the relay is created first.
         self.to_sidecar = Relay("127.0.0.1:1")
         self.sidecars["gate-1"] = self._start_sidecar(
             "gate-1",
@@ -113,7 +113,7 @@
             platform=self.platform.http,
             upstream=name,
             upstream_http=upstream_http,
-            **FAST,
+            **FAST_SETTINGS,
             **more,
         )
 
@@ -127,7 +127,7 @@
         )
 
     def restart_owner(self) -> None:
-        """Start the owner's sidecar again at its old addresses."""
+        """Restart the owner's sidecar at its previous addresses."""
         old = self.sidecars["gate-1"]
         self.sidecars["gate-1"] = self._start_sidecar(
             "gate-1",
@@ -137,8 +137,8 @@
             control=old.control,
         )
 
-    def mend(self) -> None:
-        """Bring everything back up between two scenarios."""
+    def restore(self) -> None:
+        """Restore all processes and relays between two scenarios."""
         self.to_sidecar.release()
         self.to_upstream.release()
         self.set_platform("none")
@@ -155,11 +155,11 @@
         wait_for(lambda: self.gate_load()["running"] == 0, "owner idle")
 
     def apply(self, members: tuple[str, ...]) -> Manifest:
-        """Apply a configuration with these upstreams and wait until all have it."""
+        """Apply a configuration with these upstreams and wait until every process has it."""
         kv = HttpKeyValue(self.platform.http)
         applied = apply_text(kv, json.dumps(self._make_config(members)), apply_id=uuid.uuid4().hex)
         if isinstance(applied, Err):
-            raise AssertionError(f"refused: {applied.err_value}")
+            raise AssertionError(f"configuration rejected: {applied.err_value}")
         manifest = applied.ok_value.manifest
         for process in [*self.entries, *self.sidecars.values()]:
             wait_for_version(process, manifest.version)
@@ -209,7 +209,7 @@
         }
 
     def pay(self, entry: int, body: bytes, key: str | None, deadline_ms: int) -> Outcome:
-        """Send one payment as a caller does."""
+        """Send one payment as a client does."""
         headers = {"authorization": f"Bearer {KEY}", "dalehollow-deadline-ms": str(deadline_ms)}
         if key is not None:
             headers["idempotency-key"] = key
@@ -237,15 +237,15 @@
             content,
         )
 
-    def runs_of(self, body: bytes) -> int:
-        """Return how often the upstreams ran a body, by their own count."""
+    def count_runs(self, body: bytes) -> int:
+        """Return how often the upstreams ran a request with this body."""
         return sum(
             json.loads(self._get(plain.http, "/_runs")).get(body.decode(), 0)
             for plain in self.plain.values()
         )
 
     def gate_load(self) -> dict[str, float]:
-        """Return the owner's load, from its metrics."""
+        """Return the owner's load as reported in its metrics."""
         text = self._get(self.sidecars["gate-1"].http, "/dalehollow/metrics").decode()
         values = dict(line.rsplit(" ", 1) for line in text.splitlines())
         return {
@@ -256,10 +256,10 @@
     def set_platform(self, mode: str) -> None:
         self._put(self.platform.http, "/fault", {"mode": mode})
 
-    def set_plain(self, mode: str, count: int) -> None:
+    def set_upstream_fault(self, mode: str, count: int) -> None:
         self._put(self.plain["gate-1"].http, "/_fault", {"mode": mode, "count": count})
 
-    def release_plain(self) -> None:
+    def release_upstream(self) -> None:
         self._put(self.plain["gate-1"].http, "/_release", {})
 
     def _get(self, address: str, path: str) -> bytes:
