--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,8 +1,8 @@
-"""Check what an upstream's entry says: of a start under the same id, and by other writers.
+"""Test the handling of upstream entries in the store: restarts, foreign entries, old copies.
 
-An upstream may start again under the id that it had; it then holds nothing of before. An entry may
-come from another writer; it then names no upstream. And a store that was restored may show an entry
-as it was before the upstream said that it leaves, or before it was gone.
+An upstream that restarts under the same id has lost all its state. An entry by another writer
+may be malformed and then must not be accepted as an upstream. A store restored from a copy may
+show an entry from before the upstream announced that it leaves, or from before it was deleted.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from tests.virtual_time import run_virtual
 
 BORN_MS = 1_764_000_000_000
-SOUND = {
+VALID_ENTRY = {
     "service": "desk",
     "address": "10.0.0.1:80",
     "zone": "hall",
@@ -37,48 +37,48 @@
 
 
 def _encode(**changes: object) -> bytes:
-    entry: dict[str, Any] = {**SOUND, **changes}
+    entry: dict[str, Any] = {**VALID_ENTRY, **changes}
     return msgspec.json.encode({k: v for k, v in entry.items() if v is not None})
 
 
-FOREIGN = {
-    "no bytes": b"",
-    "no text": b"\xff\xfe\x00",
-    "no object": b'"servers"',
-    "cut off": _encode()[:-5],
-    "nested deeply": b"[" * 100_000,
+MALFORMED_ENTRIES = {
+    "empty value": b"",
+    "invalid UTF-8": b"\xff\xfe\x00",
+    "not an object": b'"servers"',
+    "truncated": _encode()[:-5],
+    "deeply nested": b"[" * 100_000,
     "no service": _encode(service=None),
     "an empty service": _encode(service=""),
     "a service of another type": _encode(service=7),
     "no address": _encode(address=None),
     "an address without a port": _encode(address="10.0.0.1"),
-    "an address with a name": _encode(address="desk.example:80"),
+    "an address with a host name": _encode(address="desk.example:80"),
     "an address with port 0": _encode(address="10.0.0.1:0"),
-    "an address with a port above all": _encode(address="10.0.0.1:65536"),
-    "an address with more": _encode(address="10.0.0.1:80\r\nx: y"),
+    "an address with port 65536": _encode(address="10.0.0.1:65536"),
+    "an address with trailing data": _encode(address="10.0.0.1:80\r\nx: y"),
     "no hall": _encode(zone=None),
     "no slots": _encode(slots=None),
-    "no slot": _encode(slots=0),
-    "fewer slots than none": _encode(slots=-1),
+    "zero slots": _encode(slots=0),
+    "negative slots": _encode(slots=-1),
     "slots as text": _encode(slots="4"),
-    "slots as a truth value": _encode(slots=True),
+    "slots as a boolean": _encode(slots=True),
     "no state": _encode(state=None),
     "an unknown state": _encode(state="gone fishing"),
     "a state of another type": _encode(state=["ready"]),
-    "a start as text": _encode(born="soon"),
-    "a start before all": _encode(born=-1),
+    "a start time as text": _encode(born="soon"),
+    "a negative start time": _encode(born=-1),
     "a group of another type": _encode(group="g", size=2),
     "a group with an unknown state": _encode(group={**GROUP, "state": "half"}, size=2),
     "a rank outside its group": _encode(group={**GROUP, "rank": 2}, size=2),
-    "a rank below all": _encode(group={**GROUP, "rank": -1}, size=2),
+    "a negative rank": _encode(group={**GROUP, "rank": -1}, size=2),
 }
-FOREIGN_IDS = ("", "a b", "a/b", "a\r\nx: y", "\N{SNOWMAN}")
+INVALID_IDS = ("", "a b", "a/b", "a\r\nx: y", "\N{SNOWMAN}")
 
 
-def test_an_entry_of_another_writer_names_no_upstream() -> None:
-    taken = [what for what, value in FOREIGN.items() if not _is_refused("i-1", value)]
-    taken += [name for name in FOREIGN_IDS if not _is_refused(name, _encode())]
-    assert taken == []
+def test_malformed_entry_is_not_accepted() -> None:
+    accepted = [what for what, value in MALFORMED_ENTRIES.items() if not _is_refused("i-1", value)]
+    accepted += [name for name in INVALID_IDS if not _is_refused(name, _encode())]
+    assert accepted == []
 
 
 def _is_refused(name: str, value: bytes) -> bool:
@@ -89,11 +89,11 @@
     return False
 
 
-def test_sound_entries_are_taken_whatever_else_they_hold() -> None:
+def test_valid_entries_with_unknown_fields_are_accepted() -> None:
     grouped = _encode(group=GROUP, size=2, later="field")
     assert decode_upstream("servers/i-1", grouped).group_rank == 1
     assert decode_upstream("servers/i-1", _encode(state="draining")).is_leaving
-    # Entries of upstreams that do not tell when they started.
+    # `born` is optional: some upstreams do not report their start time.
     assert not decode_upstream("servers/i-1", _encode(born=None)).is_leaving
 
 
@@ -101,7 +101,7 @@
     upstreams.put(decode_upstream("servers/i-1", _encode(**changes)))
 
 
-def test_an_upstream_that_starts_again_is_known_as_new() -> None:
+def test_restarted_upstream_is_treated_as_new() -> None:
     upstreams = UpstreamSet(random.Random(1), "hall")
     _put(upstreams)
     (before,) = upstreams
@@ -115,24 +115,24 @@
     assert not after.listed.is_leaving
     assert (after.in_hand, after.load(10.0), after.ejected_until_s) == (0, 0.0, 0.0)
     assert upstreams.choose("desk", (), 10.0) is after
-    # What ran there goes on elsewhere, and counts no more.
+    # Requests of the earlier start are moved, and no longer count as in flight.
     assert move.is_asked
     before.in_hand -= 3
     assert after.in_hand == 0
-    # What an older reading says of the earlier start changes nothing.
+    # A stale read of the earlier start changes nothing.
     _put(upstreams, state="draining")
     assert [u.listed.is_leaving for u in upstreams] == [False]
 
 
-def test_a_restored_store_brings_no_upstream_back_that_left(
+def test_restored_store_does_not_bring_back_departed_upstream(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The copy is from before it left, and it serves on."""
-    for gives_notice in (True, False):
-        _play_restored(monkeypatch, gives_notice=gives_notice)
+    """The restored copy predates the upstream's departure and lists it as ready."""
+    for announces_leaving in (True, False):
+        _run_restored_store(monkeypatch, announces_leaving=announces_leaving)
 
 
-def _play_restored(monkeypatch: pytest.MonkeyPatch, *, gives_notice: bool) -> None:
+def _run_restored_store(monkeypatch: pytest.MonkeyPatch, *, announces_leaving: bool) -> None:
     world = HallWorld()
     use_world(world, monkeypatch)
     name = "upstream-1"
@@ -144,7 +144,7 @@
             world.start(gateway)
         await asyncio.sleep(3.0)
         world.store.take_copy()
-        if gives_notice:
+        if announces_leaving:
             world.write_upstream(name, "draining")
         else:
             world.delete_upstream(name)
@@ -153,7 +153,7 @@
         for _ in range(20):
             await asyncio.sleep(0.1)
             used = [g for g in "abc" if world.gateways[g].may_use(name)]
-            assert used == [], gives_notice
+            assert used == [], announces_leaving
         await world.close()
 
     run_virtual(main())
