--- a/benchmarks/child.py
+++ b/benchmarks/child.py
@@ -19,13 +19,13 @@
 from dalehollow.config.holder import ConfigHolder
 from dalehollow.config.model import Account, Config, Hall, Service, Upstream
 from dalehollow.config.parts import name_parts, split_config
-from dalehollow.config.store import EMPTY_MANIFEST, Manifest, PastVersion, _make_parts
+from dalehollow.config.store import EMPTY_MANIFEST, Manifest, PastVersion, _prepare_apply
 from dalehollow.entry.pool import Pool
 from dalehollow.groups import POLICIES, ExpertMap, plan_map
 from dalehollow.groups.expert_map import make_layer
 from dalehollow.limits import RetryBudget, TokenBucket
 from dalehollow.once import NEVER_MS, KeptAnswer, KeyTable, KeyTableLimits
-from dalehollow.protocol import Beat, BeatReply
+from dalehollow.protocol import Heartbeat, HeartbeatReply
 from dalehollow.protocol.link import ControlServer, PeerLink
 from dalehollow.protocol.messages import encode
 
@@ -89,7 +89,7 @@
     parts = split_config(cfg)
     ids = name_parts(parts, {}, "a")
     manifest = Manifest(1, 0, "a", 1, "", ids, {})
-    assert holder.offer(manifest, {ids[name]: data for name, data in parts.items()})
+    assert holder.activate(manifest, {ids[name]: data for name, data in parts.items()})
 
 
 def _make_service(name: str, fields: dict[str, Any]) -> Service:
@@ -116,7 +116,7 @@
 def _upstreams(size: int) -> object:
     holder = _hold_config(10, size)
     pool = Pool("entry-0", "hall-0", read_clock, subset_size=8, peer_limit=30)
-    pool.apply(holder.in_force)  # type: ignore[attr-defined]
+    pool.apply(holder.active)  # type: ignore[attr-defined]
     return holder, pool
 
 
@@ -146,10 +146,10 @@
 
 def _peers(size: int) -> object:
     """Exchange `_BEATS_PER_LINK` beats with each of `size` peers; both sides run here."""
-    reply = BeatReply("sidecar-name-1", 1, 7, 1_700_000_000_000, 3, 4, 8, 812.5, False)
+    reply = HeartbeatReply("sidecar-name-1", 1, 7, 1_700_000_000_000, 3, 4, 8, 812.5, False)
     server = ControlServer("127.0.0.1", 0, lambda request: reply)
     server.start()
-    beat = Beat("entry-name-12", "10.0.0.1:8001", 7, 1_700_000_000_000)
+    beat = Heartbeat("entry-name-12", "10.0.0.1:8001", 7, 1_700_000_000_000)
     links = [PeerLink(server.address) for _ in range(size)]
     for _ in range(_BEATS_PER_LINK):
         for link in links:
@@ -169,8 +169,8 @@
 
 def message_bytes() -> dict[str, int]:
     """Return the encoded sizes of the messages that are sent all the time."""
-    beat = Beat("entry-name-12", "10.0.0.1:8001", 1_234, 1_700_000_000_000)
-    reply = BeatReply(
+    beat = Heartbeat("entry-name-12", "10.0.0.1:8001", 1_234, 1_700_000_000_000)
+    reply = HeartbeatReply(
         "sidecar-name-1", 1_700_000_000_000, 1_234, 1_700_000_000_000, 3, 4, 8, 812.5, False
     )
     return {"beat": len(encode(beat)), "beat_reply": len(encode(reply))}
@@ -179,7 +179,7 @@
 def config_bytes() -> dict[str, int]:
     """Return what a full-size configuration puts on the wire, with 19 earlier versions listed."""
     text = make_text(accounts=4_400, upstreams=1_000)
-    prepared = _make_parts(EMPTY_MANIFEST, check_text(text).unwrap(), text, "a" * 32, 1)
+    prepared = _prepare_apply(EMPTY_MANIFEST, check_text(text).unwrap(), text, "a" * 32, 1)
     past = tuple(PastVersion(i, "a" * 32, 1_700_000_000_000) for i in range(19))
     manifest = dataclasses.replace(prepared.manifest, past=past)
     ids = manifest.parts
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -19,7 +19,7 @@
 from dalehollow.config.model import Account, Config, Hall
 from dalehollow.entry.shares import ShareKeeper, held_shares
 from dalehollow.platform.vms import Vm
-from dalehollow.protocol import AskShares, Shares
+from dalehollow.protocol import ShareGrant, ShareRequest
 from dalehollow.web import HttpClient
 from standins.hall import ACCOUNT_KEYS, apply_config, make_config, start_hall
 from standins.hall import Hall as HallOfProcesses
@@ -109,8 +109,8 @@
     keepers: dict[str, ShareKeeper] = {}
     cut: set[str] = set()
 
-    def make_ask(sender: str) -> Callable[[str, AskShares], Result[Shares, str]]:
-        def ask(address: str, message: AskShares) -> Result[Shares, str]:
+    def make_ask(sender: str) -> Callable[[str, ShareRequest], Result[ShareGrant, str]]:
+        def ask(address: str, message: ShareRequest) -> Result[ShareGrant, str]:
             if sender in cut or address in cut:
                 return Err("cut")
             return Ok(keepers[address].answer(message))
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,6 +1,6 @@
 """Model the spread of one change and the calls it costs, with 8 and 1,360 processes.
 
-The decisions are the product's own (`draw_poll_limit_ms`, `is_poll_due`); processes exchange
+The decisions are the product's own (`compute_poll_limit_ms`, `is_poll_due`); processes exchange
 beats over the entries' subsets every 500 ms, which is all that this model adds.
 """
 
@@ -11,7 +11,7 @@
 
 from benchmarks.report import print_pairs
 from dalehollow.config.model import Upstream
-from dalehollow.config.spread import draw_poll_limit_ms, is_poll_due
+from dalehollow.config.spread import compute_poll_limit_ms, is_poll_due
 from dalehollow.membership import choose_subset
 
 TICK_MS = 50
@@ -54,7 +54,7 @@
     places = {u.name: entries + idx for idx, u in enumerate(ups)}
     names = [f"entry-{i}" for i in range(entries)] + [u.name for u in ups]
     processes = [
-        _Process(n, draw_poll_limit_ms(n, POLL_MIN_MS, POLL_MAX_MS), rng.randrange(BEAT_MS))
+        _Process(n, compute_poll_limit_ms(n, POLL_MIN_MS, POLL_MAX_MS), rng.randrange(BEAT_MS))
         for n in names
     ]
     for idx in range(entries):
--- a/dalehollow/cli.py
+++ b/dalehollow/cli.py
@@ -20,7 +20,7 @@
 from dalehollow.config import Applied, Conflict, apply_text, check_text, read_manifest
 from dalehollow.config.difference import list_differences
 from dalehollow.config.holder import ConfigHolder
-from dalehollow.config.spread import Spreader
+from dalehollow.config.spread import ConfigSync
 from dalehollow.config.store import ApplyError, list_history, part_key
 from dalehollow.errors import PlatformError, SettingsError
 from dalehollow.gateway.settings import GATEWAY_ROLE, read_gateway_settings
@@ -130,9 +130,9 @@
     if isinstance(checked, Err):
         _fail(_describe_apply_error(checked.err_value))
     holder = ConfigHolder()
-    if not Spreader(0, holder, HttpKeyValue(platform)).poll():
+    if not ConfigSync(0, holder, HttpKeyValue(platform)).poll():
         _fail("the platform did not answer")
-    changes = list_differences(holder.in_force.config, checked.ok_value)
+    changes = list_differences(holder.active.config, checked.ok_value)
     lines = [f"{c.kind} {c.table}.{c.name}" for c in changes]
     _print(json, [dataclasses.asdict(c) for c in changes], lines or ["nothing would change"])
 
--- a/dalehollow/config/holder.py
+++ b/dalehollow/config/holder.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class InForce:
+class ActiveConfig:
     """Hold one accepted configuration as a unit that is never mixed with another."""
 
     manifest: Manifest
@@ -27,13 +27,13 @@
 
     def __init__(self) -> None:
         """Start with version 0, an empty configuration."""
-        self._in_force = InForce(EMPTY_MANIFEST, None, {})
+        self._in_force = ActiveConfig(EMPTY_MANIFEST, None, {})
         self._confirmed_at_ms = 0
-        self._listeners: list[Callable[[InForce], None]] = []
+        self._listeners: list[Callable[[ActiveConfig], None]] = []
         self._lock = threading.RLock()
 
     @property
-    def in_force(self) -> InForce:
+    def active(self) -> ActiveConfig:
         """Return the active configuration."""
         return self._in_force
 
@@ -47,7 +47,7 @@
         """Return the latest wall-clock time at which the active version was known to be current."""
         return self._confirmed_at_ms
 
-    def on_change(self, listener: Callable[[InForce], None]) -> None:
+    def on_change(self, listener: Callable[[ActiveConfig], None]) -> None:
         """Call the listener with each new configuration, and with the current one if any."""
         with self._lock:
             self._listeners.append(listener)
@@ -58,7 +58,7 @@
         """Return the ids of the parts of a manifest that are not held here."""
         return tuple(sorted(set(manifest.parts.values()) - set(self._in_force.parts)))
 
-    def offer(self, manifest: Manifest, parts: Mapping[str, bytes]) -> bool:
+    def activate(self, manifest: Manifest, parts: Mapping[str, bytes]) -> bool:
         """Activate a configuration if it is newer and complete; return whether it was activated.
 
         `parts` contains at least the missing parts, by id.
@@ -73,7 +73,7 @@
         with self._lock:
             if manifest.version <= self.version:
                 return False
-            self._in_force = InForce(manifest, cfg, {i: known[i] for i in wanted})
+            self._in_force = ActiveConfig(manifest, cfg, {i: known[i] for i in wanted})
             self._confirmed_at_ms = manifest.applied_at_ms
             for listener in self._listeners:
                 listener(self._in_force)
--- a/dalehollow/config/spread.py
+++ b/dalehollow/config/spread.py
@@ -34,12 +34,12 @@
 _log = logging.getLogger(__name__)
 
 
-def wall_ms() -> int:
+def read_wall_clock_ms() -> int:
     """Return the wall-clock time in Unix milliseconds."""
     return int(time.time() * 1000)
 
 
-def draw_poll_limit_ms(name: str, min_ms: int, max_ms: int) -> int:
+def compute_poll_limit_ms(name: str, min_ms: int, max_ms: int) -> int:
     """Return the confirmation age at which the process of this name polls the head."""
     digest = hashlib.blake2b(name.encode(), digest_size=4).digest()
     share = int.from_bytes(digest, "big") / 2**32
@@ -52,7 +52,7 @@
     return age_ms >= limit_ms and since_poll_ms >= pause_ms
 
 
-class Spreader:
+class ConfigSync:
     """Poll the head and fetch configuration parts in a background thread."""
 
     def __init__(
@@ -60,7 +60,7 @@
         limit_ms: int,
         holder: ConfigHolder,
         kv: KeyValue | None,
-        clock_ms: Callable[[], int] = wall_ms,
+        clock_ms: Callable[[], int] = read_wall_clock_ms,
     ) -> None:
         """Create a stopped instance; without a key-value service, updates come from peers only."""
         self._limit_ms = limit_ms
@@ -86,7 +86,7 @@
         self._stopping.set()
         self._wake.set()
 
-    def hear(self, version: int, confirmed_at_ms: int, address: str) -> None:
+    def handle_peer_version(self, version: int, confirmed_at_ms: int, address: str) -> None:
         """Handle the version a peer reports; a newer one is fetched from it in the background."""
         # A confirmation time in the future would hide a stale configuration.
         confirmed_at_ms = min(confirmed_at_ms, self._clock_ms())
@@ -100,7 +100,7 @@
         """Return the active manifest or parts that a peer requests."""
         if isinstance(request, FetchManifest):
             return ManifestJson(self._holder.manifest_json())
-        held = self._holder.in_force.parts
+        held = self._holder.active.parts
         return Parts({part_id: held[part_id] for part_id in request.part_ids if part_id in held})
 
     def _run(self) -> None:
@@ -183,7 +183,7 @@
             self._offer_parts(manifest, fetched.ok_value.parts, address)
 
     def _offer_parts(self, manifest: Manifest, parts: Mapping[str, bytes], source: str) -> None:
-        if self._holder.offer(manifest, parts):
+        if self._holder.activate(manifest, parts):
             log_event(
                 _log,
                 "config_in_force",
--- a/dalehollow/config/store.py
+++ b/dalehollow/config/store.py
@@ -275,7 +275,7 @@
     value = msgspec.json.encode(head)
     for _ in range(_WRITE_ATTEMPTS):
         swapped = kv.swap(HEAD_KEY, value, expected_revision=revision)
-        if isinstance(swapped, Ok) and swapped.ok_value.won:
+        if isinstance(swapped, Ok) and swapped.ok_value.succeeded:
             return Ok(Applied(data.manifest))
         found = read_head(kv)
         if isinstance(found, Ok) and found.ok_value.apply_id == head.apply_id:
--- a/dalehollow/entry/pool.py
+++ b/dalehollow/entry/pool.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Iterable
 from dataclasses import asdict
 
-from dalehollow.config.holder import InForce
+from dalehollow.config.holder import ActiveConfig
 from dalehollow.config.model import PRIORITIES, Service, Upstream
 from dalehollow.membership import UpstreamView, choose_subset
 from dalehollow.membership.view import select_usable
-from dalehollow.protocol import BeatReply
+from dalehollow.protocol import HeartbeatReply
 from dalehollow.routing import LoadReport, choose
 
 FAR_DISTANCE_MS = 3.0
@@ -47,9 +47,9 @@
         self._subsets: dict[str, tuple[str, ...]] = {}
         self._lock = threading.Lock()
 
-    def apply(self, in_force: InForce) -> dict[str, str]:
+    def apply(self, active: ActiveConfig) -> dict[str, str]:
         """Follow a configuration; return the control addresses of the sidecars to speak with."""
-        cfg = in_force.config
+        cfg = active.config
         assert cfg is not None
         share = self._peer_limit // max(1, len(cfg.services))
         size = max(LEAST_SUBSET, min(self._subset_size, share))
@@ -95,7 +95,7 @@
         with self._lock:
             return self._views.get(name)
 
-    def take_beat(self, name: str, reply: BeatReply) -> None:
+    def take_beat(self, name: str, reply: HeartbeatReply) -> None:
         """Take a sidecar's word."""
         view = self.find(name)
         if view is None:
--- a/dalehollow/entry/process.py
+++ b/dalehollow/entry/process.py
@@ -12,31 +12,31 @@
 from result import Err, Ok, Result
 
 from dalehollow.clock import read_clock
-from dalehollow.config.holder import ConfigHolder, InForce
+from dalehollow.config.holder import ActiveConfig, ConfigHolder
 from dalehollow.config.model import Account
-from dalehollow.config.spread import Spreader, draw_poll_limit_ms, wall_ms
+from dalehollow.config.spread import ConfigSync, compute_poll_limit_ms, read_wall_clock_ms
 from dalehollow.entry.admit import Job, admit, index_keys, read_request_id
 from dalehollow.entry.attempt import Attempt
 from dalehollow.entry.pool import Pool
 from dalehollow.entry.serve import JobServer
 from dalehollow.entry.shares import ShareKeeper
 from dalehollow.errors import Failure, Reason
-from dalehollow.membership import PeerTasks, VmWatch
+from dalehollow.membership import PeerHeartbeats, VmListPoller
 from dalehollow.membership.vm_watch import list_leaving
 from dalehollow.platform.keyvalue import HttpKeyValue
 from dalehollow.platform.vms import Vm
 from dalehollow.protocol import (
-    AskShares,
-    Beat,
-    BeatReply,
     Dump,
     DumpText,
     FetchManifest,
     FetchParts,
+    Heartbeat,
+    HeartbeatReply,
     Refused,
     Reply,
     Request,
-    Shares,
+    ShareGrant,
+    ShareRequest,
 )
 from dalehollow.protocol import headers as hdr
 from dalehollow.protocol.link import ControlServer, PeerLink
@@ -64,8 +64,8 @@
         self.metrics = Metrics()
         self.holder = ConfigHolder()
         kv = HttpKeyValue(settings.platform) if settings.platform else None
-        limit_ms = draw_poll_limit_ms(settings.name, settings.poll_min_ms, settings.poll_max_ms)
-        self.spreader = Spreader(limit_ms, self.holder, kv)
+        limit_ms = compute_poll_limit_ms(settings.name, settings.poll_min_ms, settings.poll_max_ms)
+        self.config_sync = ConfigSync(limit_ms, self.holder, kv)
         self.pool = Pool(
             settings.name,
             settings.hall,
@@ -80,18 +80,20 @@
             inner_key=settings.inner_key,
             answer_timeout_s=settings.answer_timeout_ms / _MS_PER_S,
         )
-        self.jobs = JobServer(settings.name, self.holder, self.pool, attempt, wall_ms)
+        self.jobs = JobServer(settings.name, self.holder, self.pool, attempt, read_wall_clock_ms)
         host, port = split_address(settings.http)
         self.server = HttpServer(host, port, self.handle, name="dalehollow")
         host, port = split_address(settings.control)
         self.control = ControlServer(host, port, self.handle_control)
-        self.peers = PeerTasks(
+        self.peers = PeerHeartbeats(
             self._make_beat,
             self._take_reply,
             settings.beat_interval_ms,
             settings.control_bytes_per_s,
         )
-        self.vm_watch = VmWatch(settings.platform, self._take_list, settings.vm_list_interval_ms)
+        self.vm_watch = VmListPoller(
+            settings.platform, self._take_list, settings.vm_list_interval_ms
+        )
         self.shares = ShareKeeper(settings.name, settings.hall, self._ask_shares)
         if settings.platform is None:
             # No list will ever come: nobody to share with by demand.
@@ -106,9 +108,9 @@
 
     def start(self) -> None:
         """Begin to serve."""
-        self.peers.keep(self._seed_peers())
-        self.spreader.poll()
-        self.spreader.start()
+        self.peers.update_peers(self._seed_peers())
+        self.config_sync.poll()
+        self.config_sync.start()
         self.vm_watch.start()
         threading.Thread(target=self._keep_shares, name="shares", daemon=True).start()
         self.control.start()
@@ -126,7 +128,7 @@
         self.server.stop()
         self.control.stop()
         self.peers.stop()
-        self.spreader.stop()
+        self.config_sync.stop()
         self.vm_watch.stop()
         log_event(_log, "stopped", cut_off=left)
         return left
@@ -151,11 +153,13 @@
         """Answer one message from a peer."""
         match request:
             case FetchManifest() | FetchParts():
-                return self.spreader.answer(request)
-            case Beat():
-                self.spreader.hear(request.version, request.confirmed_at_ms, request.address)
+                return self.config_sync.answer(request)
+            case Heartbeat():
+                self.config_sync.handle_peer_version(
+                    request.version, request.confirmed_at_ms, request.address
+                )
                 return self._make_beat_reply()
-            case AskShares():
+            case ShareRequest():
                 return self.shares.answer(request)
             case Dump():
                 return DumpText(json.dumps(self.dump(request.section)).encode())
@@ -171,7 +175,7 @@
             "is_leaving": self.is_leaving,
             "config_version": self.holder.version,
             "config_confirmed_at_ms": self.holder.confirmed_at_ms,
-            "config_polls": self.spreader.polls,
+            "config_polls": self.config_sync.polls,
             "upstreams": self.pool.dump(),
             "shares": self.shares.dump(),
             "counts": self.metrics.counts(),
@@ -182,7 +186,7 @@
         return state
 
     def _admit(self, req: HttpRequest, request_id: str, now_s: float) -> Result[Job, Failure]:
-        cfg = self.holder.in_force.config
+        cfg = self.holder.active.config
         if cfg is None:
             return Err(
                 Failure(
@@ -202,26 +206,26 @@
         message = f"account {job.account.name!r} is at its limit of requests"
         return Err(Failure(Reason.ACCOUNT_LIMIT, Verdict.NOT_RUN, message, retry_after_ms=wait_ms))
 
-    def _apply(self, in_force: InForce) -> None:
-        cfg = in_force.config
+    def _apply(self, active: ActiveConfig) -> None:
+        cfg = active.config
         assert cfg is not None
         self.shares.apply(cfg)
         self._keys = index_keys(cfg)
-        self.peers.keep({**self._seed_peers(), **self.pool.apply(in_force)})
+        self.peers.update_peers({**self._seed_peers(), **self.pool.apply(active)})
 
     def _seed_peers(self) -> dict[str, str]:
         return {address: address for address in self.settings.peers}
 
-    def _make_beat(self) -> Beat:
-        return Beat(
+    def _make_beat(self) -> Heartbeat:
+        return Heartbeat(
             self.settings.name,
             self.control.address,
             self.holder.version,
             self.holder.confirmed_at_ms,
         )
 
-    def _make_beat_reply(self) -> BeatReply:
-        return BeatReply(
+    def _make_beat_reply(self) -> HeartbeatReply:
+        return HeartbeatReply(
             sender=self.settings.name,
             incarnation_ms=0,
             version=self.holder.version,
@@ -240,11 +244,13 @@
                 view.note_silence()
             return
         reply = asked.ok_value
-        if isinstance(reply, BeatReply):
+        if isinstance(reply, HeartbeatReply):
             self.pool.take_beat(name, reply)
             view = self.pool.find(name)
             address = view.upstream.control if view is not None else name
-            self.spreader.hear(reply.version, reply.confirmed_at_ms, address or "")
+            self.config_sync.handle_peer_version(
+                reply.version, reply.confirmed_at_ms, address or ""
+            )
 
     def _take_list(self, vms: tuple[Vm, ...]) -> None:
         self.pool.mark_listed(list_leaving(vms))
@@ -255,12 +261,12 @@
         while not self._stopping.wait(interval_s):
             self.shares.run_round(interval_s)
 
-    def _ask_shares(self, address: str, ask: AskShares) -> Result[Shares, str]:
+    def _ask_shares(self, address: str, ask: ShareRequest) -> Result[ShareGrant, str]:
         link = self._entry_links.get(address)
         if link is None:
             link = self._entry_links[address] = PeerLink(address)
         asked = link.ask(ask, timeout_ms=SHARE_TIMEOUT_MS)
-        if isinstance(asked, Ok) and isinstance(asked.ok_value, Shares):
+        if isinstance(asked, Ok) and isinstance(asked.ok_value, ShareGrant):
             return Ok(asked.ok_value)
         return Err(f"entry at {address!r} did not answer")
 
--- a/dalehollow/entry/serve.py
+++ b/dalehollow/entry/serve.py
@@ -49,7 +49,7 @@
     holder: ConfigHolder
     pool: Pool
     attempt: Attempt
-    wall_ms: Callable[[], int]
+    read_wall_clock_ms: Callable[[], int]
     _budgets: dict[str, RetryBudget] = field(default_factory=dict)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
@@ -90,19 +90,19 @@
 
     def _try_owner(self, job: Job) -> Result[Served, Failure]:
         """Send a keyed job to the one upstream that may run it."""
-        in_force = self.holder.in_force
-        assert in_force.config is not None and job.key is not None
+        active = self.holder.active
+        assert active.config is not None and job.key is not None
         owner = find_owner(
-            tuple(in_force.manifest.generations.get(job.service.name, ())),
+            tuple(active.manifest.generations.get(job.service.name, ())),
             job.scope,
             read_birth_ms(job.key),
-            now_ms=self.wall_ms(),
-            memory_ms=job.service.key_window_ms + 2 * in_force.config.clock_bound_ms,
+            now_ms=self.read_wall_clock_ms(),
+            memory_ms=job.service.key_window_ms + 2 * active.config.clock_bound_ms,
         )
         if owner is None:
             return Err(_no_upstream(job))
         name, _, address = owner.member.partition("@")
-        upstream = in_force.config.upstreams.get(name)
+        upstream = active.config.upstreams.get(name)
         if upstream is not None and upstream.control is None:
             message = (
                 f"service {job.service.name!r} has an upstream without a sidecar "
@@ -123,7 +123,7 @@
     def _make_response(self, job: Job, served: Served) -> Result[HttpResponse, Failure]:
         answer = served.answer
         headers = {
-            **hdr.strip_own(answer.end_to_end_headers()),
+            **hdr.strip_internal(answer.end_to_end_headers()),
             hdr.VERDICT: Verdict.RAN,
             hdr.REQUEST_ID: job.request_id,
             hdr.ENTRY: self.entry,
--- a/dalehollow/entry/shares.py
+++ b/dalehollow/entry/shares.py
@@ -25,7 +25,7 @@
 from dalehollow.limits.shares import FLOOR_SHARE
 from dalehollow.membership.vm_watch import list_entries
 from dalehollow.platform.vms import Vm
-from dalehollow.protocol import AskShares, Shares
+from dalehollow.protocol import ShareGrant, ShareRequest
 
 SMALL_DEPLOYMENT_ENTRIES = 32
 IDLE_ACCOUNTS_PER_ROUND = 64
@@ -33,7 +33,7 @@
 _DEMAND_WEIGHT = 0.5
 _ACTIVE_PER_S = 0.01
 
-AskPeer = Callable[[str, AskShares], Result[Shares, str]]
+AskPeer = Callable[[str, ShareRequest], Result[ShareGrant, str]]
 """Ask the entry at a control address."""
 
 
@@ -105,7 +105,7 @@
             asks = self._group_asks()
             addresses = dict(self._entries)
         for allocator, accounts in asks.items():
-            ask = AskShares(self.name, accounts)
+            ask = ShareRequest(self.name, accounts)
             if allocator == self.name:
                 self._take_shares(self.answer(ask))
                 continue
@@ -113,7 +113,7 @@
             if isinstance(asked, Ok):
                 self._take_shares(asked.ok_value)
 
-    def answer(self, ask: AskShares) -> Shares:
+    def answer(self, ask: ShareRequest) -> ShareGrant:
         """Answer as allocator; accounts that are not known here keep what they hold."""
         now_s = self.clock()
         with self._lock:
@@ -121,7 +121,7 @@
                 (name, self._answer_one(ask.sender, name, held, demand, now_s))
                 for name, held, demand in ask.accounts
             )
-        return Shares(granted)
+        return ShareGrant(granted)
 
     def dump(self) -> dict[str, object]:
         """Return the shares of accounts that are in use."""
@@ -216,7 +216,7 @@
             self._allocators[name] = allocator
         return allocator.answer(ShareAsk(sender, held, demand), self._entries, now_s)
 
-    def _take_shares(self, shares: Shares) -> None:
+    def _take_shares(self, shares: ShareGrant) -> None:
         with self._lock:
             for name, held_per_s in shares.accounts:
                 usage = self._usages.get(name)
--- a/dalehollow/gateway/copies.py
+++ b/dalehollow/gateway/copies.py
@@ -21,7 +21,7 @@
 from dalehollow.aio import CallerConnection, CallerRequest, ClientConnection, CutError, connect
 from dalehollow.gateway.feed import HallFeed
 from dalehollow.protocol.reports import StoreChanges
-from dalehollow.protocol.revisions import show_revision
+from dalehollow.protocol.revisions import format_revision
 from dalehollow.telemetry.logs import log_event
 
 COPY_AFTER_S = 0.3
@@ -128,8 +128,8 @@
             _LOG,
             "copy_taken",
             source=address,
-            before=show_revision(before),
-            revision=show_revision(self._feed.revision),
+            before=format_revision(before),
+            revision=format_revision(self._feed.revision),
             bytes=len(body),
         )
         return self._feed.revision > before
--- a/dalehollow/gateway/feed.py
+++ b/dalehollow/gateway/feed.py
@@ -24,7 +24,7 @@
     pack_changes,
     unpack_changes,
 )
-from dalehollow.protocol.revisions import show_revision
+from dalehollow.protocol.revisions import format_revision
 from dalehollow.telemetry.logs import log_event
 
 STALE_S = 1.0
@@ -140,7 +140,7 @@
         self._note_caught_up()
         if not self._is_relay and now_s > max(self._relays_from_s, self._relay_heard_until_s):
             self._is_relay = True
-            log_event(_LOG, "relay_begun", revision=show_revision(self.revision))
+            log_event(_LOG, "relay_begun", revision=format_revision(self.revision))
         if self._is_relay and after:
             for message in _split_changes(after, changes, revision):
                 self._send(message)
@@ -157,7 +157,7 @@
             self._end_relaying(f"relay is {sender}")
         now_s = self._clock()
         if sender != self._relay:
-            log_event(_LOG, "relay_heard", relay=sender, revision=show_revision(state.revision))
+            log_event(_LOG, "relay_heard", relay=sender, revision=format_revision(state.revision))
         self._relay = sender
         silence_s = RELAY_SILENT_S + self._rng.uniform(0, SILENCE_SPREAD_S)
         self._relay_heard_until_s = now_s + silence_s
@@ -182,9 +182,9 @@
                 _LOG,
                 "changes_passed_over",
                 logging.DEBUG,
-                after=show_revision(message.after),
-                until=show_revision(message.revision),
-                revision=show_revision(self.revision),
+                after=format_revision(message.after),
+                until=format_revision(message.revision),
+                revision=format_revision(self.revision),
             )
             return
         try:
@@ -201,9 +201,9 @@
             log_event(
                 _LOG,
                 "changes_after_gap",
-                after=show_revision(message.after),
-                until=show_revision(message.revision),
-                revision=show_revision(self.revision),
+                after=format_revision(message.after),
+                until=format_revision(message.revision),
+                revision=format_revision(self.revision),
             )
             self._note_behind(message.revision)
         else:
@@ -238,8 +238,8 @@
                 self.taken += 1
                 fresh.append(change)
             elif change.revision < self.newest_revision(change.key):
-                known = show_revision(self.newest_revision(change.key))
-                told = show_revision(change.revision)
+                known = format_revision(self.newest_revision(change.key))
+                told = format_revision(change.revision)
                 log_event(_LOG, "change_passed_over", key=change.key, revision=told, known=known)
         return tuple(fresh)
 
@@ -253,7 +253,7 @@
         relied_on = self._relay if self.is_passive() else "store"
         return {
             "relies_on": relied_on,
-            "revision": show_revision(self.revision),
+            "revision": format_revision(self.revision),
             "store_age_s": _round_age(self.age_s()),
             "answer_age_s": _round_age(self.contact.answer_age_s()),
         }
@@ -275,8 +275,8 @@
                 _LOG,
                 "relay_is_older",
                 relay=sender,
-                known=show_revision(state.revision),
-                revision=show_revision(self.revision),
+                known=format_revision(state.revision),
+                revision=format_revision(self.revision),
             )
 
     def _note_behind(self, revision: int) -> None:
@@ -285,20 +285,20 @@
             log_event(
                 _LOG,
                 "fell_behind",
-                revision=show_revision(self.revision),
-                heard_of=show_revision(revision),
+                revision=format_revision(self.revision),
+                heard_of=format_revision(revision),
             )
 
     def _note_caught_up(self) -> None:
         if self._behind_since_s is not None:
             behind_s = round(self._clock() - self._behind_since_s, 3)
-            log_event(_LOG, "caught_up", revision=show_revision(self.revision), behind_s=behind_s)
+            log_event(_LOG, "caught_up", revision=format_revision(self.revision), behind_s=behind_s)
             self._behind_since_s = None
 
     def _end_relaying(self, why: str) -> None:
         if self._is_relay:
             self._is_relay = False
-            log_event(_LOG, "relay_ended", why=why, revision=show_revision(self.revision))
+            log_event(_LOG, "relay_ended", why=why, revision=format_revision(self.revision))
 
 
 def _split_changes(
--- a/dalehollow/gateway/limit_tokens.py
+++ b/dalehollow/gateway/limit_tokens.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 
 from dalehollow.gateway.tasks import wait_set
-from dalehollow.protocol.reports import PeerMessage, TokenAsk, TokenGrant
+from dalehollow.protocol.reports import PeerMessage, TokenGrant, TokenRequest
 from dalehollow.rendezvous import score
 from dalehollow.telemetry.logs import log_event
 
@@ -202,10 +202,10 @@
                 limited.unanswered_since_s = limited.unanswered_since_s or now_s
         addresses = {peer.name: peer.address for peer in peers}
         for allocator, wanted in asks.items():
-            self._send(TokenAsk(self._name, wanted), addresses[allocator])
+            self._send(TokenRequest(self._name, wanted), addresses[allocator])
         self._grant({})
 
-    def take_ask(self, ask: TokenAsk, address: Address) -> None:
+    def take_ask(self, ask: TokenRequest, address: Address) -> None:
         """Take in what another gateway wants, where this one is the allocator, and answer."""
         self._addresses[ask.sender] = address
         peers = self._list_peers()
--- a/dalehollow/gateway/planner.py
+++ b/dalehollow/gateway/planner.py
@@ -63,13 +63,13 @@
     def fence(self, duty: str) -> int | None:
         """Return the fence of a duty that is surely held now, or None."""
 
-    async def take_duty(self, duty: str) -> bool:
+    async def acquire_duty(self, duty: str) -> bool:
         """Try to take a duty that nobody holds."""
 
-    async def drop_duty(self, duty: str, why: str) -> None:
+    async def release_duty(self, duty: str, why: str) -> None:
         """Give a duty up."""
 
-    async def keep_plan(self, duty: str, plan: KeptPlan) -> None:
+    async def store_plan(self, duty: str, plan: KeptPlan) -> None:
         """Keep what a plan was made for."""
 
 
@@ -140,7 +140,7 @@
                 await self._try_take()
             elif self.ranks():
                 await self._round(fence)
-        await self.duties.drop_duty(self.duty, "planned stop")
+        await self.duties.release_duty(self.duty, "planned stop")
 
     async def _pause(self) -> None:
         """Wait until the next look is due by the terms as they change, or is called for."""
@@ -187,7 +187,7 @@
             return
         steps = min(MAX_TAKE_STEPS, self.turn()) + self.rng.random()
         await asyncio.sleep(steps * TAKE_STEP_S)
-        if self.holder() is None and await self.duties.take_duty(self.duty):
+        if self.holder() is None and await self.duties.acquire_duty(self.duty):
             self._wake.set()
 
     async def _round(self, fence: int) -> None:
@@ -246,7 +246,7 @@
             return
         log_event(_LOG, "group_held", logging.WARNING, duty=self.duty, epoch=self._epoch)
         if not await settle_switch(self.port, known, self.current, self._next_version(fence)):
-            await self.duties.drop_duty(self.duty, "a hold is unresolved")
+            await self.duties.release_duty(self.duty, "a hold is unresolved")
 
     def _window_s(self) -> float:
         """Return how long the window is that a reading now closes."""
@@ -279,7 +279,7 @@
             return False
         next_version = self._next_version(fence)
         if not await settle_switch(self.port, known, current, next_version):
-            await self.duties.drop_duty(self.duty, "another planner's switch is unresolved")
+            await self.duties.release_duty(self.duty, "another planner's switch is unresolved")
             return False
         if any(r.armed_version for r in known.values()):
             return False
@@ -344,11 +344,11 @@
                 self._next_pause_s = max(WINDOW_S, self._switch_wait_s())
             await self._keep_plan(demand)
         elif outcome is SwitchOutcome.UNRESOLVED:
-            await self.duties.drop_duty(self.duty, "a switch is unresolved")
+            await self.duties.release_duty(self.duty, "a switch is unresolved")
 
     async def _keep_plan(self, demand: list[list[float]]) -> None:
         self._slow = self._list_slow()
-        await self.duties.keep_plan(self.duty, KeptPlan(scale_demand(demand), self._slow))
+        await self.duties.store_plan(self.duty, KeptPlan(scale_demand(demand), self._slow))
 
     def _list_slow(self) -> tuple[int, ...]:
         slow = tuple(rank for rank, pace in enumerate(self._paces) if pace >= SLOW_PACE)
--- a/dalehollow/gateway/process.py
+++ b/dalehollow/gateway/process.py
@@ -31,7 +31,7 @@
 from dalehollow.gateway.upstreams import UpstreamSet
 from dalehollow.platform.follow import Follower
 from dalehollow.platform.items import Listener
-from dalehollow.platform.names import ALL_KEYS, HEADERS
+from dalehollow.platform.names import ALL_KEYS_PREFIX, HEADERS
 from dalehollow.platform.session import Session
 from dalehollow.platform.store import StoreEra
 from dalehollow.telemetry.logs import log_event
@@ -174,7 +174,9 @@
             self._planners.note_holder,
             self._planners.note_plan,
         )
-        self._follower = Follower(self._settings.store, ALL_KEYS, listener, self._feed, self._era)
+        self._follower = Follower(
+            self._settings.store, ALL_KEYS_PREFIX, listener, self._feed, self._era
+        )
         return [
             keep_running("follower", self._follower.run),
             keep_running("copies", self._copies.run),
--- a/dalehollow/gateway/reports.py
+++ b/dalehollow/gateway/reports.py
@@ -35,8 +35,8 @@
     LoadReport,
     PeerMessage,
     StoreView,
-    TokenAsk,
     TokenGrant,
+    TokenRequest,
 )
 from dalehollow.protocol.revisions import read_era
 from dalehollow.telemetry.logs import log_event
@@ -148,7 +148,7 @@
             self._take_hall(message, addr)
         elif isinstance(message, HallSignals):
             self._take_hall_signals(message)
-        elif isinstance(message, TokenAsk):
+        elif isinstance(message, TokenRequest):
             if self.tokens is not None:
                 self.tokens.take_ask(message, addr[:2])
         elif isinstance(message, TokenGrant):
--- a/dalehollow/groups/duty.py
+++ b/dalehollow/groups/duty.py
@@ -104,11 +104,11 @@
         value = msgspec.json.encode(record)
         self.calls += 1
         swapped = self.kv.swap(self.key, value, expected_revision=revision, timeout_s=1.0)
-        won = isinstance(swapped, Ok) and swapped.ok_value.won
+        succeeded = isinstance(swapped, Ok) and swapped.ok_value.succeeded
         if isinstance(swapped, Err) and swapped.err_value.may_have_written:
             found = self.kv.get(self.key, timeout_s=1.0)
-            won = isinstance(found, Ok) and found.ok_value.value == value
-        if not won:
+            succeeded = isinstance(found, Ok) and found.ok_value.value == value
+        if not succeeded:
             return self.fence()
         self._fence = record.fence
         self._held_until_s = asked_at_s + (self.lease_ms - self.margin_ms) / _MS_PER_S
--- a/dalehollow/membership/__init__.py
+++ b/dalehollow/membership/__init__.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from dalehollow.membership.peers import PeerTasks
+from dalehollow.membership.peers import PeerHeartbeats
 from dalehollow.membership.subset import choose_subset
 from dalehollow.membership.view import UpstreamView
-from dalehollow.membership.vm_watch import VmWatch
+from dalehollow.membership.vm_watch import VmListPoller
 
-__all__ = ["PeerTasks", "UpstreamView", "VmWatch", "choose_subset"]
+__all__ = ["PeerHeartbeats", "UpstreamView", "VmListPoller", "choose_subset"]
--- a/dalehollow/membership/peers.py
+++ b/dalehollow/membership/peers.py
@@ -8,7 +8,7 @@
 
 from result import Ok, Result
 
-from dalehollow.protocol import Beat, Reply
+from dalehollow.protocol import Heartbeat, Reply
 from dalehollow.protocol.link import PeerLink
 
 HEARTBEAT_EXCHANGE_BYTES = 275
@@ -28,12 +28,12 @@
     thread: threading.Thread
 
 
-class PeerTasks:
+class PeerHeartbeats:
     """Run one heartbeat thread per peer, keyed by upstream name or address."""
 
     def __init__(
         self,
-        make_heartbeat: Callable[[], Beat],
+        make_heartbeat: Callable[[], Heartbeat],
         on_reply: Callable[[str, Result[Reply, str]], None],
         interval_ms: int,
         bytes_per_s: int,
@@ -50,7 +50,7 @@
         self._tasks: dict[str, _Task] = {}
         self._lock = threading.Lock()
 
-    def keep(self, wanted: Mapping[str, str]) -> None:
+    def update_peers(self, wanted: Mapping[str, str]) -> None:
         """Start and stop tasks to match the wanted peers, addresses by name."""
         with self._lock:
             for name, task in list(self._tasks.items()):
@@ -66,7 +66,7 @@
 
     def stop(self) -> None:
         """Signal all tasks to stop."""
-        self.keep({})
+        self.update_peers({})
 
     def _start(self, name: str, address: str) -> _Task:
         stopping = threading.Event()
--- a/dalehollow/membership/vm_watch.py
+++ b/dalehollow/membership/vm_watch.py
@@ -31,7 +31,7 @@
     }
 
 
-class VmWatch:
+class VmListPoller:
     """Poll the VM list in a background thread."""
 
     def __init__(
--- a/dalehollow/once/handover.py
+++ b/dalehollow/once/handover.py
@@ -110,7 +110,7 @@
     failure = PlatformError("another incarnation came first", may_have_written=False)
     for _ in range(_ATTEMPTS):
         swapped = kv.swap(_record_key(member), value, expected_revision=revision)
-        if isinstance(swapped, Ok) and swapped.ok_value.won:
+        if isinstance(swapped, Ok) and swapped.ok_value.succeeded:
             return Ok(None)
         found = kv.get(_record_key(member))
         if isinstance(found, Ok) and found.ok_value.value == value:
@@ -129,7 +129,7 @@
             failure = found.err_value
             continue
         swapped = kv.swap(key, value, expected_revision=found.ok_value.revision)
-        if isinstance(swapped, Ok) and swapped.ok_value.won:
+        if isinstance(swapped, Ok) and swapped.ok_value.succeeded:
             return Ok(None)
         if isinstance(swapped, Err):
             failure = swapped.err_value
--- a/dalehollow/platform/follow.py
+++ b/dalehollow/platform/follow.py
@@ -9,27 +9,27 @@
 from dalehollow.gateway.feed import HallFeed
 from dalehollow.platform.items import Listener, StoreItems
 from dalehollow.platform.store import HistoryGoneError, Store, StoreEra
-from dalehollow.protocol.revisions import show_revision
+from dalehollow.protocol.revisions import format_revision
 from dalehollow.telemetry.logs import log_event
 
 WATCH_WAIT_S = 0.6
 """Length of a watch without changes. It adds to the delay of a configuration when the relay's
 connection to the store goes silent; each halving costs a hall some 100 more calls per minute."""
-ANSWER_WAIT_S = 0.3
+RESPONSE_TIMEOUT_S = 0.3
 """A response that has not begun this long after it is due counts as lost: seventy times the usual
 response time of the store. Together with the length of a watch this stays below `feed.STALE_S`, so
 a relay confirms its state before other gateways stop relying on it."""
-RETRY_ANSWER_WAIT_S = 0.6
+RETRY_RESPONSE_TIMEOUT_S = 0.6
 """Response timeout after a failure: longer, so that a slow store still gets through."""
 PASSIVE_CHECK_INTERVAL_S = 0.1
 """Interval at which a gateway checks whether its hall's relay can still be heard."""
 RECOVERY_WAIT_S = 0.1
 """Length of watches after a failure or a passive period, until one is answered: a long watch sent
 to a silent store blocks for its whole length even if the store comes back meanwhile."""
-RETRY_PAUSE_S = 0.2
+RETRY_DELAY_S = 0.2
 """Retry delay after a first failure. The first gateway of a hall and a gateway without any data
 also use it for later failures."""
-OTHERS_RETRY_PAUSE_S = 0.8
+BACKUP_RETRY_DELAY_S = 0.8
 """Retry delay of the other gateways after repeated failures. They learn from the first gateway
 that the store is back, and still try themselves in case the store rejects only the first one."""
 BATCH_WINDOW_S = 0.2
@@ -42,7 +42,7 @@
 After a 12 s outage, with three 500 KB configurations per second and a 20 Mbit/s link, a gateway
 caught up in 1.9 s by a full read but not within 30 s from the history (simulated time, with the
 actual follower and store client, without copies from other gateways)."""
-SLOW_ANSWER_S = 0.5
+SLOW_RESPONSE_S = 0.5
 """If a watch response takes longer than this to arrive, or fails after that long, all items are
 read next: the history may be growing faster than it can be read."""
 
@@ -92,24 +92,24 @@
                     await self._read_items()
                 self._note_reachable()
             except HistoryGoneError as exc:
-                revision = show_revision(self._feed.revision)
+                revision = format_revision(self._feed.revision)
                 log_event(_LOG, "store_history_gone", revision=revision, why=exc)
                 self._must_read_items = True
             except PlatformError as exc:
                 self._note_failure(exc)
-                await asyncio.sleep(self._retry_pause_s())
+                await asyncio.sleep(self._retry_delay_s())
 
     def _disconnect(self) -> None:
         """Close the connection, since an idle one may be dead by the next call."""
         self._store.close()
         self._is_connection_confirmed = False
 
-    def _retry_pause_s(self) -> float:
+    def _retry_delay_s(self) -> float:
         is_first = self._feed.is_first() or not self._feed.revision
-        return RETRY_PAUSE_S if is_first or self._failures == 1 else OTHERS_RETRY_PAUSE_S
+        return RETRY_DELAY_S if is_first or self._failures == 1 else BACKUP_RETRY_DELAY_S
 
-    def _answer_wait_s(self) -> float:
-        return RETRY_ANSWER_WAIT_S if self._failures else ANSWER_WAIT_S
+    def _response_timeout_s(self) -> float:
+        return RETRY_RESPONSE_TIMEOUT_S if self._failures else RESPONSE_TIMEOUT_S
 
     def _should_watch(self) -> bool:
         """Return whether the changes since the last read are likely smaller than a full read."""
@@ -117,13 +117,13 @@
         return is_recent and not self._was_watch_slow and not self._must_read_items
 
     async def _read_items(self) -> None:
-        result = await self._store.read_range(self._prefix, self._answer_wait_s())
+        result = await self._store.read_range(self._prefix, self._response_timeout_s())
         log_event(
             _LOG,
             "items_read",
             items=len(result.changes),
-            as_of=show_revision(result.revision),
-            revision=show_revision(self._feed.revision),
+            as_of=format_revision(result.revision),
+            revision=format_revision(self._feed.revision),
         )
         self._was_watch_slow = self._must_read_items = False
         self._feed.contact.note_answered()
@@ -133,11 +133,11 @@
     async def _watch(self) -> None:
         after = self._feed.revision
         wait_s = WATCH_WAIT_S if self._is_connection_confirmed else RECOVERY_WAIT_S
-        timeout_s = wait_s + self._answer_wait_s()
+        timeout_s = wait_s + self._response_timeout_s()
         try:
             result = await self._store.watch(self._prefix, after, wait_s, timeout_s)
         finally:
-            self._was_watch_slow = self._store.transfer_s > SLOW_ANSWER_S
+            self._was_watch_slow = self._store.transfer_s > SLOW_RESPONSE_S
         self._feed.contact.note_answered()
         self._items.take_changes(self._feed.select_fresh(result.changes))
         self._feed.note_read(after, result.changes, result.revision)
@@ -152,7 +152,7 @@
                 "store_regained",
                 prefix=self._prefix,
                 failures=self._failures,
-                revision=show_revision(self._feed.revision),
+                revision=format_revision(self._feed.revision),
             )
         self._failures = 0
         self._is_connection_confirmed = True
--- a/dalehollow/platform/items.py
+++ b/dalehollow/platform/items.py
@@ -24,7 +24,7 @@
 from dalehollow.platform.operator import decode_config
 from dalehollow.platform.servers import decode_upstream, read_incarnation
 from dalehollow.protocol.reports import Change
-from dalehollow.protocol.revisions import read_era, show_revision
+from dalehollow.protocol.revisions import format_revision, read_era
 from dalehollow.telemetry.logs import log_event
 
 RESTORED_ENTRY_GRACE_S = 5.0
@@ -43,7 +43,7 @@
 
     on_table: Callable[[RoutingTable], None]
     on_upstream: Callable[[ListedUpstream], None]
-    on_gone: Callable[[str], None]
+    on_upstream_gone: Callable[[str], None]
     # Name and entry of a gateway, or None once it is gone.
     on_member: Callable[[str, Member | None], None]
     # A duty and the name of the gateway that holds it, or None if it is free.
@@ -188,7 +188,7 @@
 
     def _log_entry_event(self, event: str, key: str, as_of: int) -> None:
         """Log a change with its revision and the current source of store data."""
-        log_event(_LOG, event, key=key, as_of=show_revision(as_of), **self._feed.describe())
+        log_event(_LOG, event, key=key, as_of=format_revision(as_of), **self._feed.describe())
 
     def _drop_lapsed_later(self) -> None:
         """Schedule `_drop_lapsed` for when the store has been back for long enough."""
@@ -215,7 +215,7 @@
             restored.timer.cancel()
         if key in self._started_at_ms:
             self._gone[key] = _RemovedUpstream(revision, self._started_at_ms.pop(key))
-        self._listener.on_gone(read_incarnation(key))
+        self._listener.on_upstream_gone(read_incarnation(key))
 
 
 def _note_unusable(key: str, exc: ValueError) -> None:
--- a/dalehollow/platform/keyvalue.py
+++ b/dalehollow/platform/keyvalue.py
@@ -23,10 +23,10 @@
 
 
 @dataclass(frozen=True)
-class Swap:
+class SwapResult:
     """Hold the outcome of a compare-and-swap and the current revision of the key."""
 
-    won: bool
+    succeeded: bool
     revision: int
 
 
@@ -44,7 +44,7 @@
         expected_revision: int,
         ttl_ms: int | None = None,
         timeout_s: float = 2.0,
-    ) -> Result[Swap, PlatformError]:
+    ) -> Result[SwapResult, PlatformError]:
         """Write a key if its revision is the expected one; with `ttl_ms` the key expires."""
 
     def delete(self, key: str, *, timeout_s: float = 2.0) -> Result[None, PlatformError]:
@@ -75,7 +75,7 @@
         expected_revision: int,
         ttl_ms: int | None = None,
         timeout_s: float = 2.0,
-    ) -> Result[Swap, PlatformError]:
+    ) -> Result[SwapResult, PlatformError]:
         """Write a key if its revision is the expected one."""
         query = f"expect={expected_revision}" + (f"&ttl_ms={ttl_ms}" if ttl_ms else "")
         call = self._http.call(
@@ -117,12 +117,12 @@
     return Ok(Entry(body, int(answer.headers.get(_REVISION_HEADER, "0"))))
 
 
-def _read_swap(answer: Answer) -> Result[Swap, PlatformError]:
+def _read_swap(answer: Answer) -> Result[SwapResult, PlatformError]:
     try:
         answer.read()
     except ConnectionError as exc:
         return Err(PlatformError(str(exc), may_have_written=True))
     revision = int(answer.headers.get(_REVISION_HEADER, "0"))
     if answer.status in (200, 409):
-        return Ok(Swap(answer.status == 200, revision))
+        return Ok(SwapResult(answer.status == 200, revision))
     return Err(PlatformError(f"status {answer.status}", may_have_written=answer.status >= 500))
--- a/dalehollow/platform/names.py
+++ b/dalehollow/platform/names.py
@@ -5,7 +5,7 @@
 from dalehollow.gateway.headers import HeaderNames
 
 # Prefix of every key: a single watch needs one call where three prefixes would need three.
-ALL_KEYS = ""
+ALL_KEYS_PREFIX = ""
 CONFIG_KEY = "op/config"
 UPSTREAM_PREFIX = "servers/"
 
--- a/dalehollow/platform/session.py
+++ b/dalehollow/platform/session.py
@@ -21,7 +21,7 @@
 from dalehollow.groups.ranks import KeptPlan
 from dalehollow.platform.names import DUTY_PREFIX, MEMBER_PREFIX, PLAN_PREFIX
 from dalehollow.platform.store import ConflictError, LeaseGoneError, Store, StoreEra
-from dalehollow.protocol.revisions import read_era, show_revision
+from dalehollow.protocol.revisions import format_revision, read_era
 from dalehollow.telemetry.logs import log_event
 
 CALL_TIMEOUT_S = 0.5
@@ -160,7 +160,7 @@
         await wait_set(self._wake, pause_s)
         self._wake.clear()
 
-    async def take_duty(self, duty: str) -> bool:
+    async def acquire_duty(self, duty: str) -> bool:
         """Try to acquire a duty that has no holder; return whether it was acquired."""
         key = DUTY_PREFIX + duty
         store = Store(self.address, self.era)
@@ -178,19 +178,19 @@
         self._duties[duty] = lease
         loop = asyncio.get_running_loop()
         self._renewing[duty] = loop.create_task(self._keep_duty(duty, lease))
-        log_event(_LOG, "duty_taken", duty=duty, fence=show_revision(lease.revision))
+        log_event(_LOG, "duty_taken", duty=duty, fence=format_revision(lease.revision))
         return True
 
-    async def drop_duty(self, duty: str, why: str) -> None:
+    async def release_duty(self, duty: str, why: str) -> None:
         """Release a duty so that another process can acquire it at once."""
         lease = self._duties.pop(duty, None)
         if lease is None:
             return
         self._renewing.pop(duty).cancel()
-        log_event(_LOG, "duty_dropped", duty=duty, fence=show_revision(lease.revision), why=why)
+        log_event(_LOG, "duty_dropped", duty=duty, fence=format_revision(lease.revision), why=why)
         await lease.end()
 
-    async def keep_plan(self, duty: str, plan: KeptPlan) -> None:
+    async def store_plan(self, duty: str, plan: KeptPlan) -> None:
         """Store the inputs of a plan for later planners and the other gateways."""
         store = Store(self.address, self.era)
         try:
@@ -203,7 +203,7 @@
     async def end(self) -> None:
         """Revoke all leases at a planned stop so that other processes notice at once."""
         for duty in list(self._duties):
-            await self.drop_duty(duty, "planned stop")
+            await self.release_duty(duty, "planned stop")
         await self._member.end()
 
     async def _keep_listed(self) -> None:
@@ -243,4 +243,4 @@
             del self._renewing[duty]
         lease.invalidate()
         lease.store.close()
-        log_event(_LOG, "duty_lost", duty=duty, fence=show_revision(lease.revision))
+        log_event(_LOG, "duty_lost", duty=duty, fence=format_revision(lease.revision))
--- a/dalehollow/platform/store.py
+++ b/dalehollow/platform/store.py
@@ -53,7 +53,7 @@
         self.newest = 0
         self._last_invalid = b""
 
-    def take(self, header: bytes | None) -> int:
+    def observe(self, header: bytes | None) -> int:
         """Record and return the era of a response.
 
         Raises PlatformError if the era is lower than one already seen: the response predates the
@@ -245,7 +245,7 @@
                 self._connection.send([head.encode(), b"\r\n", data])
                 answer = await self._connection.read_head()
                 response_start_s = clock()
-                self.era.take(answer.get(_ERA_HEADER))
+                self.era.observe(answer.get(_ERA_HEADER))
                 try:
                     answer_body = await self._connection.read_body_while_it_comes(limit)
                 finally:
--- a/dalehollow/protocol/__init__.py
+++ b/dalehollow/protocol/__init__.py
@@ -6,13 +6,12 @@
 from __future__ import annotations
 
 from dalehollow.protocol.messages import (
-    AskShares,
-    Beat,
-    BeatReply,
     Dump,
     DumpText,
     FetchManifest,
     FetchParts,
+    Heartbeat,
+    HeartbeatReply,
     ManifestJson,
     Parts,
     Prepare,
@@ -22,19 +21,19 @@
     Refused,
     Reply,
     Request,
-    Shares,
+    ShareGrant,
+    ShareRequest,
     VoteQuery,
     VoteReply,
 )
 
 __all__ = [
-    "AskShares",
-    "Beat",
-    "BeatReply",
     "Dump",
     "DumpText",
     "FetchManifest",
     "FetchParts",
+    "Heartbeat",
+    "HeartbeatReply",
     "ManifestJson",
     "Parts",
     "Prepare",
@@ -44,7 +43,8 @@
     "Refused",
     "Reply",
     "Request",
-    "Shares",
+    "ShareGrant",
+    "ShareRequest",
     "VoteQuery",
     "VoteReply",
 ]
--- a/dalehollow/protocol/headers.py
+++ b/dalehollow/protocol/headers.py
@@ -51,11 +51,11 @@
 ENGINE_PRIORITY = "x-request-priority"
 
 
-def strip_own(headers: Mapping[str, str]) -> dict[str, str]:
+def strip_internal(headers: Mapping[str, str]) -> dict[str, str]:
     """Remove Dalehollow's own headers, which external parties must not set."""
     return {k: v for k, v in headers.items() if not k.startswith(PREFIX)}
 
 
 def keep_end_to_end(headers: Mapping[str, str]) -> dict[str, str]:
     """Return the request headers that are forwarded to the next process."""
-    return {k: v for k, v in strip_own(headers).items() if k not in _NOT_FORWARDED}
+    return {k: v for k, v in strip_internal(headers).items() if k not in _NOT_FORWARDED}
--- a/dalehollow/protocol/messages.py
+++ b/dalehollow/protocol/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True, tag="b"):
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="b"):
     """Announce the sender and the configuration version it last confirmed as current, and when."""
 
     sender: str
@@ -16,7 +16,7 @@
     confirmed_at_ms: int
 
 
-class BeatReply(msgspec.Struct, frozen=True, array_like=True, tag="B"):
+class HeartbeatReply(msgspec.Struct, frozen=True, array_like=True, tag="B"):
     """Reply to a heartbeat with the load of the sidecar's upstream."""
 
     sender: str
@@ -127,14 +127,14 @@
     counts: tuple[tuple[int, int, int], ...]
 
 
-class AskShares(msgspec.Struct, frozen=True, array_like=True, tag="s"):
+class ShareRequest(msgspec.Struct, frozen=True, array_like=True, tag="s"):
     """Report the held and usable requests per second of each account to an allocator."""
 
     sender: str
     accounts: tuple[tuple[str, float, float], ...]
 
 
-class Shares(msgspec.Struct, frozen=True, array_like=True, tag="S"):
+class ShareGrant(msgspec.Struct, frozen=True, array_like=True, tag="S"):
     """Return the share of each account's limit, in requests/s, granted to the recipient."""
 
     accounts: tuple[tuple[str, float], ...]
@@ -146,16 +146,18 @@
     message: str
 
 
-Request = Beat | FetchManifest | FetchParts | Dump | VoteQuery | Prepare | RankQuery | AskShares
+Request = (
+    Heartbeat | FetchManifest | FetchParts | Dump | VoteQuery | Prepare | RankQuery | ShareRequest
+)
 Reply = (
-    BeatReply
+    HeartbeatReply
     | ManifestJson
     | Parts
     | DumpText
     | VoteReply
     | PrepareReply
     | RankReply
-    | Shares
+    | ShareGrant
     | Refused
 )
 
--- a/dalehollow/protocol/reports.py
+++ b/dalehollow/protocol/reports.py
@@ -110,7 +110,7 @@
     packed: bytes
 
 
-class TokenAsk(msgspec.Struct, frozen=True, array_like=True, tag="a"):
+class TokenRequest(msgspec.Struct, frozen=True, array_like=True, tag="a"):
     """Request tokens for rate-limited upstreams from their allocator."""
 
     sender: str
@@ -123,7 +123,7 @@
     tokens: dict[str, int]
 
 
-PeerMessage = LoadReport | HallReport | HallSignals | StoreChanges | TokenAsk | TokenGrant
+PeerMessage = LoadReport | HallReport | HallSignals | StoreChanges | TokenRequest | TokenGrant
 
 _CHANGES = msgspec.msgpack.Decoder(tuple[Change, ...])
 MAX_UNPACKED_BYTES = 1 << 23
--- a/dalehollow/protocol/revisions.py
+++ b/dalehollow/protocol/revisions.py
@@ -28,7 +28,7 @@
     return revision & ((1 << _NUMBER_BITS) - 1)
 
 
-def show_revision(revision: int) -> str:
+def format_revision(revision: int) -> str:
     """Format a revision for log lines as `era.number`, or as the number alone in era 0."""
     era = read_era(revision)
     return f"{era}.{read_number(revision)}" if era else str(revision)
--- a/dalehollow/sidecar/forward.py
+++ b/dalehollow/sidecar/forward.py
@@ -37,7 +37,7 @@
     gate: Gate
     ownership: Ownership
     answer_timeout_s: float
-    wall_ms: Callable[[], int]
+    read_wall_clock_ms: Callable[[], int]
 
     def serve(self, req: HttpRequest, call: InnerCall) -> HttpResponse:
         """Run one call, once if it has a key, and return the response to the entry."""
@@ -48,7 +48,7 @@
         return self._refuse(call, outcome.err_value)
 
     def _run_once(self, req: HttpRequest, call: InnerCall) -> Result[HttpResponse, Failure]:
-        now_ms = self.wall_ms()
+        now_ms = self.read_wall_clock_ms()
         admitted = self.ownership.admit(call, now_ms)
         if isinstance(admitted, Err):
             return admitted
@@ -128,7 +128,7 @@
             )
         finally:
             self.gate.release((read_clock() - began_s) * _MS_PER_S)
-        headers = hdr.strip_own(answer.end_to_end_headers())
+        headers = hdr.strip_internal(answer.end_to_end_headers())
         return Ok(KeptAnswer(answer.status, headers, body))
 
     def _relay(self, answer: Answer, began_s: float) -> Iterator[bytes]:
@@ -170,7 +170,7 @@
         return HttpResponse(kept.status, headers, kept.body)
 
     def _answer_headers(self, answer: Answer) -> dict[str, str]:
-        return {**hdr.strip_own(answer.end_to_end_headers()), **self._own_headers()}
+        return {**hdr.strip_internal(answer.end_to_end_headers()), **self._own_headers()}
 
     def _own_headers(self) -> dict[str, str]:
         return {hdr.VERDICT: Verdict.RAN, hdr.UPSTREAM: self.upstream, hdr.LOAD: self.format_load()}
--- a/dalehollow/sidecar/ownership.py
+++ b/dalehollow/sidecar/ownership.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from dalehollow.config.holder import ConfigHolder, InForce
+from dalehollow.config.holder import ActiveConfig, ConfigHolder
 from dalehollow.config.model import Service
 from dalehollow.errors import Failure, Reason
 from dalehollow.once import KeyTable, KeyTableLimits, find_owner
@@ -37,20 +37,20 @@
 
     def admit(self, call: InnerCall, now_ms: int) -> Result[KeyTable, Failure]:
         """Return the table for a call's key, or the refusal if the key is not ours to take."""
-        in_force = self.holder.in_force
-        service = in_force.config.services.get(call.service) if in_force.config else None
+        active = self.holder.active
+        service = active.config.services.get(call.service) if active.config else None
         if service is None or call.key is None:
             return Err(_unconfirmed(f"service {call.service!r} is not configured here"))
-        refusal = self._check_owner(in_force, service, call, now_ms)
+        refusal = self._check_owner(active, service, call, now_ms)
         if refusal is not None:
             return Err(refusal)
-        return Ok(self._table_of(service, in_force))
+        return Ok(self._table_of(service, active))
 
     def make_snapshot(self, now_ms: int) -> Snapshot:
         """Return all that is known, for the next incarnation."""
         with self._lock:
             tables = dict(self._tables)
-        cfg = self.holder.in_force.config
+        cfg = self.holder.active.config
         bound_ms = cfg.clock_bound_ms if cfg is not None else 0
         return Snapshot(
             others_complete_from_ms=complete_from(self.claim, "", self.started_at_ms, bound_ms),
@@ -68,15 +68,15 @@
 
     def _check_owner(
         self,
-        in_force: InForce,
+        active: ActiveConfig,
         service: Service,
         call: InnerCall,
         now_ms: int,
     ) -> Failure | None:
-        assert in_force.config is not None
-        clock_bound_ms = in_force.config.clock_bound_ms
+        assert active.config is not None
+        clock_bound_ms = active.config.clock_bound_ms
         owner = find_owner(
-            tuple(in_force.manifest.generations.get(service.name, ())),
+            tuple(active.manifest.generations.get(service.name, ())),
             call.scope,
             call.birth_ms,
             now_ms=now_ms,
@@ -93,8 +93,8 @@
             return _unconfirmed("the configuration was not confirmed for too long")
         return None
 
-    def _table_of(self, service: Service, in_force: InForce) -> KeyTable:
-        assert in_force.config is not None
+    def _table_of(self, service: Service, active: ActiveConfig) -> KeyTable:
+        assert active.config is not None
         with self._lock:
             table = self._tables.get(service.name)
             if table is None:
@@ -103,7 +103,7 @@
                     capacity=service.key_capacity,
                     answer_bytes=ANSWER_BYTES_PER_TABLE,
                     window_ms=service.key_window_ms,
-                    clock_bound_ms=in_force.config.clock_bound_ms,
+                    clock_bound_ms=active.config.clock_bound_ms,
                 )
                 table = self._make_table(service.name, limits)
                 self._tables[service.name] = table
--- a/dalehollow/sidecar/process.py
+++ b/dalehollow/sidecar/process.py
@@ -10,26 +10,26 @@
 from result import Ok, Result
 
 from dalehollow.clock import read_clock
-from dalehollow.config.holder import ConfigHolder, InForce
-from dalehollow.config.spread import Spreader, draw_poll_limit_ms, wall_ms
+from dalehollow.config.holder import ActiveConfig, ConfigHolder
+from dalehollow.config.spread import ConfigSync, compute_poll_limit_ms, read_wall_clock_ms
 from dalehollow.groups.host import HttpRankHost
 from dalehollow.limits import Gate, GateLimits
-from dalehollow.membership import PeerTasks
+from dalehollow.membership import PeerHeartbeats
 from dalehollow.once.handover import Claim, claim_incarnation, leave_snapshot
 from dalehollow.platform.keyvalue import HttpKeyValue, KeyValue
 from dalehollow.protocol import (
-    AskShares,
-    Beat,
-    BeatReply,
     Dump,
     DumpText,
     FetchManifest,
     FetchParts,
+    Heartbeat,
+    HeartbeatReply,
     Prepare,
     RankQuery,
     Refused,
     Reply,
     Request,
+    ShareRequest,
     VoteQuery,
 )
 from dalehollow.protocol.link import ControlServer
@@ -55,13 +55,13 @@
         assert settings.upstream is not None and settings.upstream_http is not None
         self.settings = settings
         self.upstream = settings.upstream
-        self.incarnation_ms = wall_ms()
+        self.incarnation_ms = read_wall_clock_ms()
         self.is_leaving = False
         self.metrics = Metrics()
         self.holder = ConfigHolder()
         self.kv: KeyValue | None = HttpKeyValue(settings.platform) if settings.platform else None
-        limit_ms = draw_poll_limit_ms(settings.name, settings.poll_min_ms, settings.poll_max_ms)
-        self.spreader = Spreader(limit_ms, self.holder, self.kv)
+        limit_ms = compute_poll_limit_ms(settings.name, settings.poll_min_ms, settings.poll_max_ms)
+        self.config_sync = ConfigSync(limit_ms, self.holder, self.kv)
         # One request at a time until a configuration says how much the upstream can take.
         self.gate = Gate(GateLimits(slots=1, urgent_extra=0, queue_limit=0), read_clock)
         host, port = split_address(settings.http)
@@ -77,11 +77,11 @@
             gate=self.gate,
             ownership=self.ownership,
             answer_timeout_s=settings.answer_timeout_ms / _MS_PER_S,
-            wall_ms=wall_ms,
+            read_wall_clock_ms=read_wall_clock_ms,
         )
         host, port = split_address(settings.control)
         self.control = ControlServer(host, port, self.handle_control)
-        self.peers = PeerTasks(
+        self.peers = PeerHeartbeats(
             self._make_beat,
             self._take_reply,
             settings.beat_interval_ms,
@@ -104,9 +104,9 @@
     def start(self) -> None:
         """Begin to serve."""
         self.ownership.claim = self._claim_incarnation()
-        self.peers.keep({address: address for address in self.settings.peers})
-        self.spreader.poll()
-        self.spreader.start()
+        self.peers.update_peers({address: address for address in self.settings.peers})
+        self.config_sync.poll()
+        self.config_sync.start()
         self.control.start()
         self.server.start()
 
@@ -121,7 +121,7 @@
         left = self.server.wait_idle(self.settings.drain_timeout_ms / _MS_PER_S)
         self.server.stop()
         self.control.stop()
-        self.spreader.stop()
+        self.config_sync.stop()
         self.peers.stop()
         self.ranks.stop()
         if not left:
@@ -143,16 +143,18 @@
     def handle_control(self, request: Request) -> Reply:
         """Answer one message from a peer."""
         match request:
-            case Beat():
-                self.spreader.hear(request.version, request.confirmed_at_ms, request.address)
+            case Heartbeat():
+                self.config_sync.handle_peer_version(
+                    request.version, request.confirmed_at_ms, request.address
+                )
                 return self._make_beat_reply()
             case FetchManifest() | FetchParts():
-                return self.spreader.answer(request)
+                return self.config_sync.answer(request)
             case Dump():
                 return DumpText(json.dumps(self.dump()).encode())
             case VoteQuery() | Prepare() | RankQuery():
                 return self.ranks.answer(request)
-            case AskShares():
+            case ShareRequest():
                 return Refused("a sidecar hands out no shares of account limits")
 
     def dump(self) -> dict[str, object]:
@@ -169,15 +171,15 @@
             "is_leaving": self.is_leaving,
             "config_version": self.holder.version,
             "config_confirmed_at_ms": self.holder.confirmed_at_ms,
-            "config_polls": self.spreader.polls,
+            "config_polls": self.config_sync.polls,
             "gate": dataclasses.asdict(self.gate.load()),
             "groups": [ranks.dump() for ranks in self.ranks.groups.values()],
             "keys_held": self.ownership.counts(),
             "counts": self.metrics.counts(),
         }
 
-    def _make_beat(self) -> Beat:
-        return Beat(
+    def _make_beat(self) -> Heartbeat:
+        return Heartbeat(
             self.settings.name,
             self.control.address,
             self.holder.version,
@@ -185,13 +187,13 @@
         )
 
     def _take_reply(self, address: str, asked: Result[Reply, str]) -> None:
-        if isinstance(asked, Ok) and isinstance(asked.ok_value, BeatReply):
+        if isinstance(asked, Ok) and isinstance(asked.ok_value, HeartbeatReply):
             reply = asked.ok_value
-            self.spreader.hear(reply.version, reply.confirmed_at_ms, address)
+            self.config_sync.handle_peer_version(reply.version, reply.confirmed_at_ms, address)
 
-    def _make_beat_reply(self) -> BeatReply:
+    def _make_beat_reply(self) -> HeartbeatReply:
         load = self.gate.load()
-        return BeatReply(
+        return HeartbeatReply(
             sender=self.settings.name,
             incarnation_ms=self.incarnation_ms,
             version=self.holder.version,
@@ -203,8 +205,8 @@
             is_leaving=self.is_leaving,
         )
 
-    def _apply(self, in_force: InForce) -> None:
-        cfg = in_force.config
+    def _apply(self, active: ActiveConfig) -> None:
+        cfg = active.config
         assert cfg is not None
         mine = cfg.upstreams.get(self.upstream)
         services = cfg.services_of(self.upstream)
@@ -233,7 +235,7 @@
         claim = self.ownership.claim
         if self.kv is None or claim is None:
             return
-        snapshot = self.ownership.make_snapshot(wall_ms())
+        snapshot = self.ownership.make_snapshot(read_wall_clock_ms())
         left = leave_snapshot(self.kv, self.ownership.member, claim.mark, snapshot)
         if isinstance(left, Ok):
             log_event(_log, "snapshot_left", bytes=left.ok_value)
--- a/dalehollow/sidecar/rank_service.py
+++ b/dalehollow/sidecar/rank_service.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from dalehollow.clock import read_clock
-from dalehollow.config.holder import InForce
+from dalehollow.config.holder import ActiveConfig
 from dalehollow.config.model import Config, Group
 from dalehollow.groups.duty import Duty
 from dalehollow.groups.host import RankHost
@@ -26,9 +26,9 @@
     plan_max_moves: int
     groups: dict[str, GroupRanks] = field(default_factory=dict)
 
-    def apply(self, in_force: InForce) -> None:
+    def apply(self, active: ActiveConfig) -> None:
         """Begin with new groups, end with those that are gone and follow addresses."""
-        cfg = in_force.config
+        cfg = active.config
         assert cfg is not None
         mine = {g.name: g for g in cfg.groups.values() if self.upstream in g.ranks}
         for name, ranks in list(self.groups.items()):
--- a/soak/defects.py
+++ b/soak/defects.py
@@ -54,7 +54,7 @@
 
 def _read_history_in_a_hurry() -> None:
     """Ask for all changes since the last reading, and give an answer up after a short time."""
-    follow.HISTORY_MAX_AGE_S = follow.SLOW_ANSWER_S = float("inf")
+    follow.HISTORY_MAX_AGE_S = follow.SLOW_RESPONSE_S = float("inf")
     client.ANSWER_TIMEOUT_S = 0.1
     _fetch_no_copies()
 
@@ -66,7 +66,7 @@
 
 def _know_no_eras() -> None:
     """Order what the store tells by its revisions alone."""
-    StoreEra.take = lambda *args: 0  # type: ignore[method-assign]
+    StoreEra.observe = lambda *args: 0  # type: ignore[method-assign]
     _fetch_no_copies()
 
 
--- a/tests/fake_keyvalue.py
+++ b/tests/fake_keyvalue.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from dalehollow.errors import PlatformError
-from dalehollow.platform.keyvalue import Entry, Swap
+from dalehollow.platform.keyvalue import Entry, SwapResult
 
 
 @dataclass
@@ -31,19 +31,19 @@
         expected_revision: int,
         ttl_ms: int | None = None,
         timeout_s: float = 2.0,
-    ) -> Result[Swap, PlatformError]:
+    ) -> Result[SwapResult, PlatformError]:
         if self.fault == "down":
             return Err(PlatformError("down", may_have_written=False))
         if self.fault == "lose_call":
             return Err(PlatformError("timed out", may_have_written=True))
         found = self.items.get(key, Entry(b"", 0)).revision
-        won = found == expected_revision
-        if won:
+        succeeded = found == expected_revision
+        if succeeded:
             self.revision += 1
             self.items[key] = Entry(value, self.revision)
         if self.fault == "lose_answer":
             return Err(PlatformError("timed out", may_have_written=True))
-        return Ok(Swap(won, self.revision if won else found))
+        return Ok(SwapResult(succeeded, self.revision if succeeded else found))
 
     def delete(self, key: str, *, timeout_s: float = 2.0) -> Result[None, PlatformError]:
         self.items.pop(key, None)
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -450,7 +450,7 @@
         return Listener(
             on_table=take_table,
             on_upstream=take_upstream,
-            on_gone=take_gone,
+            on_upstream_gone=take_gone,
             on_member=take_member,
             on_duty=lambda duty, holder: None,
             on_plan=lambda duty, plan: None,
--- a/tests/test_config_in_time.py
+++ b/tests/test_config_in_time.py
@@ -124,11 +124,11 @@
 
 def test_the_waits_of_the_longest_chain_add_up_to_less_than_the_bound() -> None:
     """A silent relay is noticed, another gateway asks, tells of it, and is asked for a copy."""
-    noticed_s = feed.STALE_S + follow.PASSIVE_INTERVAL_S
+    noticed_s = feed.STALE_S + follow.PASSIVE_CHECK_INTERVAL_S
     told_s = reports.IDLE_INTERVAL_S
     assert noticed_s + told_s + copies.COPY_AFTER_S < BOUND_S
     # A single gateway of a hall that fails once before it is answered.
-    failed_s = follow.RECOVERY_WAIT_S + follow.ANSWER_WAIT_S + follow.RETRY_PAUSE_S
+    failed_s = follow.RECOVERY_WAIT_S + follow.RESPONSE_TIMEOUT_S + follow.RETRY_DELAY_S
     assert noticed_s + failed_s < BOUND_S
 
 
@@ -169,8 +169,8 @@
 
 
 def _pause_long_after_failures(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(follow, "RETRY_PAUSE_S", 2.0)
-    monkeypatch.setattr(follow, "OTHERS_RETRY_PAUSE_S", 2.0)
+    monkeypatch.setattr(follow, "RETRY_DELAY_S", 2.0)
+    monkeypatch.setattr(follow, "BACKUP_RETRY_DELAY_S", 2.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -17,7 +17,7 @@
     read_manifest,
 )
 from dalehollow.config.holder import ConfigHolder
-from dalehollow.config.spread import Spreader
+from dalehollow.config.spread import ConfigSync
 from dalehollow.config.store import HEAD_KEY, part_key, read_head
 from dalehollow.errors import PlatformError
 from dalehollow.platform.keyvalue import HttpKeyValue
@@ -102,9 +102,9 @@
         text = make_text(deployment=f"d-{idx}")
         manifest = apply_text(kv, text, apply_id=f"a{idx}").unwrap().manifest
         offers.append((manifest, read_parts(kv, manifest)))
-    assert holder.offer(*offers[2])
-    for offer in offers:
-        assert not holder.offer(*offer)
+    assert holder.activate(*offers[2])
+    for activate in offers:
+        assert not holder.activate(*activate)
     assert holder.version == 3
 
 
@@ -114,18 +114,18 @@
     parts = read_parts(kv, manifest)
     first = next(iter(parts))
     holder = ConfigHolder()
-    assert not holder.offer(manifest, {i: d for i, d in parts.items() if i != first})
-    assert not holder.offer(manifest, {**parts, first: b"{}"})
+    assert not holder.activate(manifest, {i: d for i, d in parts.items() if i != first})
+    assert not holder.activate(manifest, {**parts, first: b"{}"})
     assert holder.version == 0
-    assert holder.offer(manifest, parts)
+    assert holder.activate(manifest, parts)
 
 
 def test_joined_parts_equal_the_validated_file(platform: Platform) -> None:
     _, kv = platform
     manifest = apply_text(kv, make_text(), apply_id="a").unwrap().manifest
     holder = ConfigHolder()
-    assert holder.offer(manifest, read_parts(kv, manifest))
-    assert holder.in_force.config == check_text(make_text()).unwrap()
+    assert holder.activate(manifest, read_parts(kv, manifest))
+    assert holder.active.config == check_text(make_text()).unwrap()
 
 
 def test_small_change_writes_one_part_and_deletes_the_replaced_ones(platform: Platform) -> None:
@@ -169,9 +169,9 @@
     standin, kv = platform
     apply_text(kv, make_text(), apply_id="a").unwrap()
     holder = ConfigHolder()
-    spreader = Spreader(1_000, holder, kv)
-    assert spreader.poll() and holder.version == 1
+    config_sync = ConfigSync(1_000, holder, kv)
+    assert config_sync.poll() and holder.version == 1
     confirmed_at_ms = holder.confirmed_at_ms
     standin.set_fault("down")
-    assert not spreader.poll()
+    assert not config_sync.poll()
     assert (holder.version, holder.confirmed_at_ms) == (1, confirmed_at_ms)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,7 +10,7 @@
 import pytest
 
 from dalehollow.config.model import Upstream
-from dalehollow.membership import UpstreamView, VmWatch, choose_subset
+from dalehollow.membership import UpstreamView, VmListPoller, choose_subset
 from dalehollow.membership.peers import compute_heartbeat_interval_ms
 from dalehollow.membership.view import EJECT_AFTER_FAILURES, select_usable
 from dalehollow.membership.vm_watch import list_entries, list_leaving
@@ -116,7 +116,7 @@
         has_received.set()
 
     standin.vms = [{"name": "u-1", "state": "leaving"}, {"name": "u-2", "state": "live"}]
-    watch = VmWatch(server.address, on_list, interval_ms=20)
+    watch = VmListPoller(server.address, on_list, interval_ms=20)
     watch.start()
     assert has_received.wait(10)
     assert received[-1] == {"u-1"}
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -32,14 +32,14 @@
     def fence(self, duty: str) -> int | None:
         return self.held
 
-    async def take_duty(self, duty: str) -> bool:
+    async def acquire_duty(self, duty: str) -> bool:
         self.held = (self.held or 0) + 1
         return True
 
-    async def drop_duty(self, duty: str, why: str) -> None:
+    async def release_duty(self, duty: str, why: str) -> None:
         self.held = None
 
-    async def keep_plan(self, duty: str, plan: KeptPlan) -> None:
+    async def store_plan(self, duty: str, plan: KeptPlan) -> None:
         self.kept.append(plan)
 
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -14,7 +14,7 @@
 from dalehollow.limits import Allocator, ShareAsk, fair_shares
 from dalehollow.limits.shares import GONE_AFTER_S
 from dalehollow.platform.vms import Vm
-from dalehollow.protocol import AskShares, Shares
+from dalehollow.protocol import ShareGrant, ShareRequest
 from dalehollow.settings import Settings
 from tests.config_text import make_raw, make_text
 
@@ -134,7 +134,7 @@
             self.keepers[vm.name] = keeper
 
     def _make_ask(self, sender: str):  # type: ignore[no-untyped-def]
-        def ask(address: str, message: AskShares) -> Result[Shares, str]:
+        def ask(address: str, message: ShareRequest) -> Result[ShareGrant, str]:
             if sender in self.cut or address in self.cut:
                 return Err("cut")
             return Ok(self.keepers[address].answer(message))
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -12,7 +12,7 @@
 
 from dalehollow.config import apply_text
 from dalehollow.config.holder import ConfigHolder
-from dalehollow.config.spread import Spreader, draw_poll_limit_ms, is_poll_due
+from dalehollow.config.spread import ConfigSync, compute_poll_limit_ms, is_poll_due
 from dalehollow.entry import EntryProcess
 from dalehollow.errors import PlatformError
 from dalehollow.platform.keyvalue import Entry, HttpKeyValue
@@ -95,7 +95,7 @@
 
     def _follow(self, name: str, process: EntryProcess | Sidecar) -> None:
         versions = self.versions_seen.setdefault(name, [])
-        process.holder.on_change(lambda in_force: versions.append(in_force.manifest.version))
+        process.holder.on_change(lambda active: versions.append(active.manifest.version))
 
     def apply(self, deployment: str) -> int:
         config = {
@@ -201,8 +201,10 @@
     world.apply("v1")
     world.wait_for_version(1, *HALLS)
     world.platform.set_fault(mode)
-    polls = world.halls["ngb"].entry.spreader.polls
-    wait_for(lambda: world.halls["ngb"].entry.spreader.polls > polls + 2, "polls during the fault")
+    polls = world.halls["ngb"].entry.config_sync.polls
+    wait_for(
+        lambda: world.halls["ngb"].entry.config_sync.polls > polls + 2, "polls during the fault"
+    )
     world.wait_for_version(1, *HALLS)
     world.platform.set_fault("none")
     world.apply("v2")
@@ -212,14 +214,14 @@
 def test_late_and_duplicate_reports_of_an_old_version_are_ignored(world: World) -> None:
     world.apply("v1")
     world.wait_for_version(1, *HALLS)
-    old = world.halls["ngb"].sidecar.holder.in_force
+    old = world.halls["ngb"].sidecar.holder.active
     world.apply("v2")
     world.wait_for_version(2, *HALLS)
     for hall in world.halls.values():
         for process in (hall.entry, hall.sidecar):
             for _ in range(2):
-                process.spreader.hear(1, 2**60, hall.sidecar.control.address)
-                assert not process.holder.offer(old.manifest, old.parts)
+                process.config_sync.handle_peer_version(1, 2**60, hall.sidecar.control.address)
+                assert not process.holder.activate(old.manifest, old.parts)
     world.wait_for_version(2, *HALLS)
 
 
@@ -227,7 +229,7 @@
     world.apply("v1")
     world.wait_for_version(1, *HALLS)
     entry = world.halls["ngb"].entry
-    entry.spreader.hear(1, 2**60, "")
+    entry.config_sync.handle_peer_version(1, 2**60, "")
     assert entry.holder.confirmed_at_ms < 2**59
 
 
@@ -265,7 +267,7 @@
 
 
 def test_poll_limits_are_spread() -> None:
-    limits = {draw_poll_limit_ms(f"p{idx}", 1_000, 3_000) for idx in range(200)}
+    limits = {compute_poll_limit_ms(f"p{idx}", 1_000, 3_000) for idx in range(200)}
     assert min(limits) < 1_100 and max(limits) > 2_900
 
 
@@ -273,12 +275,12 @@
     """The version check must detect a holder that accepts an older version."""
     world.apply("v1")
     world.wait_for_version(1, *HALLS)
-    old = world.halls["ngb"].sidecar.holder.in_force
+    old = world.halls["ngb"].sidecar.holder.active
     world.apply("v2")
     world.wait_for_version(2, *HALLS)
     holder = world.halls["ngb"].sidecar.holder
-    holder._in_force = replace(holder.in_force, manifest=replace(old.manifest, version=0))
-    assert holder.offer(old.manifest, old.parts)
+    holder._in_force = replace(holder.active, manifest=replace(old.manifest, version=0))
+    assert holder.activate(old.manifest, old.parts)
     versions = world.versions_seen["sidecar-up-ngb"]
     assert versions != sorted(set(versions))
     versions.clear()
@@ -302,9 +304,9 @@
     kv = _LimitedKeyValue(left=1000)
     apply_text(kv, make_text(), apply_id="one").unwrap()
     holder = ConfigHolder()
-    spreader = Spreader(1_000, holder, kv)
+    config_sync = ConfigSync(1_000, holder, kv)
     for _ in range(20):
         # Enough for the head, its manifest and one part.
         kv.left = 3
-        spreader.poll()
+        config_sync.poll()
     assert holder.version == 1
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -42,7 +42,7 @@
         return Listener(
             on_table=self.tables.append,
             on_upstream=lambda u: self.upstreams.__setitem__(u.incarnation, u),
-            on_gone=lambda incarnation: self.upstreams.pop(incarnation, None),
+            on_upstream_gone=lambda incarnation: self.upstreams.pop(incarnation, None),
             on_member=lambda name, address: _set(self.members, name, address),
             on_duty=lambda duty, holder: _set(self.holders, duty, holder),
             on_plan=lambda service, plan: None,
@@ -91,7 +91,7 @@
 
 @pytest.fixture(autouse=True)
 def _short_delays(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(follow, "RETRY_PAUSE_S", 0.005)
+    monkeypatch.setattr(follow, "RETRY_DELAY_S", 0.005)
     monkeypatch.setattr(follow, "WATCH_WAIT_S", 0.05)
     monkeypatch.setattr(follow, "BATCH_WINDOW_S", 0.001)
 
@@ -144,12 +144,12 @@
         pauses.clear()
         monkeypatch.setattr(follow.asyncio, "sleep", note_pause)
         store.fault = "busy"
-        retries = (follow.RETRY_PAUSE_S, follow.OTHERS_RETRY_PAUSE_S)
+        retries = (follow.RETRY_DELAY_S, follow.BACKUP_RETRY_DELAY_S)
         await _wait_until(lambda: sum(pause in retries for pause in pauses) > 3)
         first, *later = [pause for pause in pauses if pause in retries]
         # A single failure may be a broken connection, so the first retry is quick.
-        assert first == follow.RETRY_PAUSE_S
-        assert set(later) == {follow.RETRY_PAUSE_S if is_first else follow.OTHERS_RETRY_PAUSE_S}
+        assert first == follow.RETRY_DELAY_S
+        assert set(later) == {follow.RETRY_DELAY_S if is_first else follow.BACKUP_RETRY_DELAY_S}
         store.fault = "none"
 
     _run(scenario, is_first=is_first)
@@ -158,8 +158,8 @@
 def test_watches_are_short_while_the_store_is_silent(monkeypatch: pytest.MonkeyPatch) -> None:
     """A long watch sent just before a silent store recovers would block for its whole length."""
     monkeypatch.setattr(follow, "WATCH_WAIT_S", 0.2)
-    monkeypatch.setattr(follow, "ANSWER_WAIT_S", 0.05)
-    monkeypatch.setattr(follow, "RETRY_ANSWER_WAIT_S", 0.05)
+    monkeypatch.setattr(follow, "RESPONSE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(follow, "RETRY_RESPONSE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(follow, "RECOVERY_WAIT_S", 0.01)
 
     async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
@@ -177,8 +177,8 @@
 
 
 def test_watch_and_timeout_stay_below_the_stale_limit() -> None:
-    assert follow.WATCH_WAIT_S + follow.ANSWER_WAIT_S < feed_module.STALE_S < 2.75
-    assert follow.RECOVERY_WAIT_S + follow.RETRY_ANSWER_WAIT_S + follow.RETRY_PAUSE_S < 1.0
+    assert follow.WATCH_WAIT_S + follow.RESPONSE_TIMEOUT_S < feed_module.STALE_S < 2.75
+    assert follow.RECOVERY_WAIT_S + follow.RETRY_RESPONSE_TIMEOUT_S + follow.RETRY_DELAY_S < 1.0
 
 
 def test_failures_and_recovery_are_logged_with_age(
@@ -249,15 +249,15 @@
 def test_a_duty_has_one_holder_and_a_rising_fence() -> None:
     async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         first, second = (Session(address, name, MEMBER) for name in ("a", "b"))
-        assert await first.take_duty("desk")
-        assert not await second.take_duty("desk")
+        assert await first.acquire_duty("desk")
+        assert not await second.acquire_duty("desk")
         fence = first.fence("desk")
         assert fence is not None and second.fence("desk") is None
         await _wait_until(lambda: recorded.holders == {"desk": "a"})
-        await first.drop_duty("desk", "test")
+        await first.release_duty("desk", "test")
         assert first.fence("desk") is None
         await _wait_until(lambda: not recorded.holders)
-        assert await second.take_duty("desk")
+        assert await second.acquire_duty("desk")
         later = second.fence("desk")
         assert later is not None and later > fence
         await second.end()
@@ -269,7 +269,7 @@
     async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         now_s = 100.0
         holder = Session(address, "a", MEMBER, clock=lambda: now_s)
-        assert await holder.take_duty("desk")
+        assert await holder.acquire_duty("desk")
         assert holder.fence("desk") is not None
         now_s += session.DUTY_TIMES.ttl_s
         assert holder.fence("desk") is None
@@ -283,7 +283,7 @@
 
     async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         holder = Session(address, "a", MEMBER)
-        assert await holder.take_duty("desk")
+        assert await holder.acquire_duty("desk")
         store.end_all_leases()
         await _wait_until(lambda: holder.fence("desk") is None)
 
@@ -371,10 +371,10 @@
 
 def test_an_invalid_era_is_ignored(caplog: pytest.LogCaptureFixture) -> None:
     era = StoreEra()
-    assert era.take(None) == 0
-    assert era.take(b"3") == 3
+    assert era.observe(None) == 0
+    assert era.observe(b"3") == 3
     for header in (None, b"", b"no number", b"-4", b"3.5", b"9" * 30, b"\xb2", b"99999999999"):
-        assert era.take(header) == 3
+        assert era.observe(header) == 3
     # Each invalid era is logged once; an empty one counts as missing.
     assert caplog.text.count("event=store_era_unusable") == 6
 
@@ -382,10 +382,10 @@
 def test_a_response_of_an_earlier_era_is_rejected() -> None:
     """Its revisions would mask those that the restored store assigns again."""
     era = StoreEra()
-    era.take(b"3")
+    era.observe(b"3")
     with pytest.raises(PlatformError, match="era 2 after 3"):
-        era.take(b"2")
-    assert era.take(b"3") == 3
+        era.observe(b"2")
+    assert era.observe(b"3") == 3
 
 
 def test_a_lease_expires_when_the_store_is_restored() -> None:
@@ -394,12 +394,12 @@
     async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         first = Session(address, "a", MEMBER)
         store.take_copy()
-        assert await first.take_duty("desk")
+        assert await first.acquire_duty("desk")
         fence = first.fence("desk")
         store.restore()
         await _wait_until(lambda: first.fence("desk") is None)
         second = Session(address, "b", MEMBER)
-        assert await second.take_duty("desk")
+        assert await second.acquire_duty("desk")
         later = second.fence("desk")
         assert fence is not None and later is not None and later > fence
 
--- a/tests/test_suspended_vm.py
+++ b/tests/test_suspended_vm.py
@@ -42,7 +42,7 @@
     async def run() -> None:
         store = MetadataStandIn()
         session = Session(await listen(store.handle), "a", Member("127.0.0.1:1", "h"))
-        assert await session.take_duty("g")
+        assert await session.acquire_duty("g")
         assert session.fence("g") is not None
         with suspended():
             assert session.fence("g") is None
