--- a/dalehollow/config/check.py
+++ b/dalehollow/config/check.py
@@ -102,11 +102,11 @@
 def _read_upstream(fields: Fields, name: str, halls: Mapping[str, Hall]) -> Upstream:
     control = fields.read_raw("control", None)
     if control is not None and not (isinstance(control, str) and _ADDRESS.fullmatch(control)):
-        fields.report("control", f"is {control!r}, must be an IP number and a port")
+        fields.report("control", f"is {control!r}, must be an IP address and a port")
     return Upstream(
         name=name,
         hall=fields.read_choice("hall", tuple(halls) or ("",)),
-        http=fields.read_text("http", _ADDRESS, "an IP number and a port"),
+        http=fields.read_text("http", _ADDRESS, "an IP address and a port"),
         control=control,
         slots=fields.read_int("slots", 1, 10_000, default=8),
     )
--- a/dalehollow/config/fields.py
+++ b/dalehollow/config/fields.py
@@ -75,10 +75,10 @@
         return low if value is None else value
 
     def read_int(self, name: str, low: int, high: int, default: Any = REQUIRED) -> int:
-        """Return a whole number within bounds."""
+        """Return an integer within bounds."""
         value = self.read_number(name, low, high, default)
         if isinstance(value, float):
-            self.report(name, f"is {value!r}, must be a whole number")
+            self.report(name, f"is {value!r}, must be an integer")
         return int(value)
 
     def read_choice(self, name: str, choices: Sequence[str], default: Any = REQUIRED) -> str:
--- a/dalehollow/platform/session.py
+++ b/dalehollow/platform/session.py
@@ -41,7 +41,7 @@
 MEMBER_TIMES = LeaseTimes(ttl_s=12.0, renew_s=4.0, margin_s=0.3)
 """Peers detect a silent gateway by themselves; the list only says where to send reports."""
 MEMBER_RETRY_DELAY_S = 1.0
-"""Retry delay after a failed call while the process is not listed."""
+"""Retry delay after a failed registration or renewal of the member entry."""
 DUTY_TIMES = LeaseTimes(ttl_s=1.0, renew_s=0.3, margin_s=0.2)
 """1 s is the shortest lease the store grants; a group may stall until its duty is taken over."""
 
