--- a/dalehollow/entry/shares.py
+++ b/dalehollow/entry/shares.py
@@ -25,7 +25,7 @@
 from dalehollow.limits.shares import FLOOR_SHARE
 from dalehollow.membership.vm_watch import list_entries
 from dalehollow.platform.vms import Vm
-from dalehollow.protocol import AskShares, Shares
+from dalehollow.protocol import ShareGrant, ShareRequest
 
 MAX_ENTRIES_FOR_GLOBAL_SHARES = 32
 IDLE_ACCOUNTS_PER_ROUND = 64
@@ -33,7 +33,7 @@
 _DEMAND_SMOOTHING = 0.5
 _MIN_ACTIVE_DEMAND_PER_S = 0.01
 
-AskPeer = Callable[[str, AskShares], Result[Shares, str]]
+AskPeer = Callable[[str, ShareRequest], Result[ShareGrant, str]]
 """Request shares from the entry at a control address."""
 
 
@@ -105,7 +105,7 @@
             asks = self._group_requests_by_allocator()
             addresses = dict(self._entries)
         for allocator, accounts in asks.items():
-            ask = AskShares(self.name, accounts)
+            ask = ShareRequest(self.name, accounts)
             if allocator == self.name:
                 self._apply_shares(self.answer(ask))
                 continue
@@ -113,7 +113,7 @@
             if isinstance(asked, Ok):
                 self._apply_shares(asked.ok_value)
 
-    def answer(self, ask: AskShares) -> Shares:
+    def answer(self, ask: ShareRequest) -> ShareGrant:
         """Assign shares as allocator; accounts unknown here keep their current shares."""
         now_s = self.clock()
         with self._lock:
@@ -121,7 +121,7 @@
                 (name, self._allocate_one(ask.sender, name, held, demand, now_s))
                 for name, held, demand in ask.accounts
             )
-        return Shares(granted)
+        return ShareGrant(granted)
 
     def dump(self) -> dict[str, object]:
         """Return the shares of active accounts."""
@@ -218,7 +218,7 @@
             self._allocators[name] = allocator
         return allocator.answer(ShareAsk(sender, held, demand), self._entries, now_s)
 
-    def _apply_shares(self, shares: Shares) -> None:
+    def _apply_shares(self, shares: ShareGrant) -> None:
         with self._lock:
             for name, held_per_s in shares.accounts:
                 usage = self._usages.get(name)
--- a/dalehollow/gateway/limit_tokens.py
+++ b/dalehollow/gateway/limit_tokens.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 
 from dalehollow.gateway.tasks import wait_set
-from dalehollow.protocol.reports import PeerMessage, TokenAsk, TokenGrant
+from dalehollow.protocol.reports import PeerMessage, TokenGrant, TokenRequest
 from dalehollow.rendezvous import score
 from dalehollow.telemetry.logs import log_event
 
@@ -207,10 +207,10 @@
                 limit.unanswered_since_s = limit.unanswered_since_s or now_s
         addresses = {peer.name: peer.address for peer in peers}
         for allocator, wanted in requests.items():
-            self._send(TokenAsk(self._name, wanted), addresses[allocator])
+            self._send(TokenRequest(self._name, wanted), addresses[allocator])
         self._grant({})
 
-    def handle_token_request(self, request: TokenAsk, address: Address) -> None:
+    def handle_token_request(self, request: TokenRequest, address: Address) -> None:
         """Handle a token request for the upstreams that this gateway allocates."""
         self._addresses[request.sender] = address
         peers = self._list_peers()
--- a/dalehollow/gateway/planner.py
+++ b/dalehollow/gateway/planner.py
@@ -63,13 +63,13 @@
     def fence(self, duty: str) -> int | None:
         """Return the fence of a duty, None unless it is known to be held by this gateway now."""
 
-    async def take_duty(self, duty: str) -> bool:
+    async def acquire_duty(self, duty: str) -> bool:
         """Try to take a vacant duty; return whether it was taken."""
 
-    async def drop_duty(self, duty: str, why: str) -> None:
+    async def release_duty(self, duty: str, why: str) -> None:
         """Release a duty."""
 
-    async def keep_plan(self, duty: str, plan: KeptPlan) -> None:
+    async def store_plan(self, duty: str, plan: KeptPlan) -> None:
         """Store the demand and the slow ranks that a plan is based on."""
 
 
@@ -140,7 +140,7 @@
                 await self._try_take_duty()
             elif self.ranks():
                 await self._run_round(fence)
-        await self.duties.drop_duty(self.duty, "planned stop")
+        await self.duties.release_duty(self.duty, "planned stop")
 
     async def _wait_for_round(self) -> None:
         """Wait until the next round is due under the current terms, or is requested."""
@@ -191,7 +191,7 @@
             return
         steps = min(MAX_TAKE_DELAYS, self.count_predecessors()) + self.rng.random()
         await asyncio.sleep(steps * TAKE_DELAY_S)
-        if self.holder() is None and await self.duties.take_duty(self.duty):
+        if self.holder() is None and await self.duties.acquire_duty(self.duty):
             self._wake.set()
 
     async def _run_round(self, fence: int) -> None:
@@ -250,7 +250,7 @@
             return
         log_event(_LOG, "group_held", logging.WARNING, duty=self.duty, epoch=self._epoch)
         if not await settle_switch(self.port, known, self.current, self._next_version(fence)):
-            await self.duties.drop_duty(self.duty, "hold could not be settled")
+            await self.duties.release_duty(self.duty, "hold could not be settled")
 
     def _advance_window_s(self) -> float:
         """Return the time since the last read, and start the next window."""
@@ -283,7 +283,9 @@
             return False
         next_version = self._next_version(fence)
         if not await settle_switch(self.port, known, current, next_version):
-            await self.duties.drop_duty(self.duty, "another planner's switch could not be settled")
+            await self.duties.release_duty(
+                self.duty, "another planner's switch could not be settled"
+            )
             return False
         if any(r.armed_version for r in known.values()):
             return False
@@ -349,11 +351,11 @@
                 self._next_round_in_s = max(WINDOW_S, self._switch_wait_s())
             await self._keep_plan(demand)
         elif outcome is SwitchOutcome.UNRESOLVED:
-            await self.duties.drop_duty(self.duty, "switch could not be settled")
+            await self.duties.release_duty(self.duty, "switch could not be settled")
 
     async def _keep_plan(self, demand: list[list[float]]) -> None:
         self._stored_slow_ranks = self._find_slow_ranks()
-        await self.duties.keep_plan(
+        await self.duties.store_plan(
             self.duty, KeptPlan(scale_demand(demand), self._stored_slow_ranks)
         )
 
--- a/dalehollow/gateway/reports.py
+++ b/dalehollow/gateway/reports.py
@@ -35,8 +35,8 @@
     LoadReport,
     PeerMessage,
     StoreView,
-    TokenAsk,
     TokenGrant,
+    TokenRequest,
 )
 from dalehollow.protocol.revisions import read_era
 from dalehollow.telemetry.logs import log_event
@@ -149,7 +149,7 @@
             self._handle_hall(message, addr)
         elif isinstance(message, HallSignals):
             self._handle_hall_signals(message)
-        elif isinstance(message, TokenAsk):
+        elif isinstance(message, TokenRequest):
             if self.tokens is not None:
                 self.tokens.handle_token_request(message, addr[:2])
         elif isinstance(message, TokenGrant):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -14,7 +14,7 @@
 from dalehollow.limits import Allocator, ShareAsk, fair_shares
 from dalehollow.limits.shares import REMOVAL_DELAY_S
 from dalehollow.platform.vms import Vm
-from dalehollow.protocol import AskShares, Shares
+from dalehollow.protocol import ShareGrant, ShareRequest
 from dalehollow.settings import Settings
 from tests.config_text import make_raw, make_text
 
@@ -137,7 +137,7 @@
             self.keepers[vm.name] = keeper
 
     def _make_ask(self, sender: str):  # type: ignore[no-untyped-def]
-        def request(address: str, message: AskShares) -> Result[Shares, str]:
+        def request(address: str, message: ShareRequest) -> Result[ShareGrant, str]:
             if sender in self.partitioned or address in self.partitioned:
                 return Err("partitioned")
             return Ok(self.keepers[address].answer(message))
