--- a/benchmarks/skew.py
+++ b/benchmarks/skew.py
@@ -81,7 +81,7 @@
             average.demand,
             POLICIES[policy],
             tokens_counted=average.tokens_counted,
-            moving=average.moving_layers(),
+            changed=average.changed_layers(),
         ).expert_map
 
     return plan
--- a/dalehollow/entry/shares.py
+++ b/dalehollow/entry/shares.py
@@ -17,10 +17,10 @@
 from dalehollow.config.model import Account, Config
 from dalehollow.limits import (
     Allocator,
-    ShareAsk,
+    ShareRequest,
     TokenBucket,
     choose_allocator,
-    floor_of,
+    compute_floor,
 )
 from dalehollow.limits.shares import FLOOR_SHARE
 from dalehollow.membership.vm_watch import list_entries
@@ -160,7 +160,7 @@
         limit = account.requests_per_s
         if cfg.count_entries() > SMALL_DEPLOYMENT_ENTRIES and self.hall in cfg.halls:
             limit *= cfg.halls[self.hall].entries / cfg.count_entries()
-        return limit, floor_of(limit, self._sharers(cfg))
+        return limit, compute_floor(limit, self._sharers(cfg))
 
     def _sharers(self, cfg: Config) -> int:
         if cfg.count_entries() > SMALL_DEPLOYMENT_ENTRIES and self.hall in cfg.halls:
@@ -214,7 +214,7 @@
         if allocator is None:
             allocator = Allocator(usage.limit_per_s * (1 - FLOOR_SHARE))
             self._allocators[name] = allocator
-        return allocator.answer(ShareAsk(sender, held, demand), self._entries, now_s)
+        return allocator.answer(ShareRequest(sender, held, demand), self._entries, now_s)
 
     def _take_shares(self, shares: Shares) -> None:
         with self._lock:
--- a/dalehollow/gateway/planner.py
+++ b/dalehollow/gateway/planner.py
@@ -16,9 +16,9 @@
 from dalehollow.gateway.steps import StepClock
 from dalehollow.gateway.table import ExpertFigures
 from dalehollow.gateway.tasks import wait_set
-from dalehollow.groups.place import Improved, deal_in_turn, improve_layers, layer_loads
-from dalehollow.groups.ranks import GroupMap, KeptPlan, OrderReply, RankCounts, RankPort
-from dalehollow.groups.switch import Proposal, SwitchOutcome, settle_switch, switch_map
+from dalehollow.groups.place import ImprovedLayer, improve_layers, layer_loads, place_round_robin
+from dalehollow.groups.ranks import GroupMap, OrderReply, RankCounts, RankPort, StoredPlan
+from dalehollow.groups.switch import Proposal, SwitchOutcome, abort_unfinished_switch, switch_map
 from dalehollow.telemetry.logs import log_event
 
 VERSIONS_PER_FENCE = 1_000_000
@@ -69,7 +69,7 @@
     async def drop_duty(self, duty: str, why: str) -> None:
         """Give a duty up."""
 
-    async def keep_plan(self, duty: str, plan: KeptPlan) -> None:
+    async def keep_plan(self, duty: str, plan: StoredPlan) -> None:
         """Keep what a plan was made for."""
 
 
@@ -245,7 +245,9 @@
         if not any(r.held_step for r in known.values()):
             return
         log_event(_LOG, "group_held", logging.WARNING, duty=self.duty, epoch=self._epoch)
-        if not await settle_switch(self.port, known, self.current, self._next_version(fence)):
+        if not await abort_unfinished_switch(
+            self.port, known, self.current, self._next_version(fence)
+        ):
             await self.duties.drop_duty(self.duty, "a hold is unresolved")
 
     def _window_s(self) -> float:
@@ -278,7 +280,7 @@
         if current is None:
             return False
         next_version = self._next_version(fence)
-        if not await settle_switch(self.port, known, current, next_version):
+        if not await abort_unfinished_switch(self.port, known, current, next_version):
             await self.duties.drop_duty(self.duty, "another planner's switch is unresolved")
             return False
         if any(r.armed_version for r in known.values()):
@@ -289,7 +291,7 @@
 
     async def _read_map(self, ranks: list[int], version: int) -> GroupMap | None:
         if version == 0:
-            layer = deal_in_turn(len(ranks), self.figures.experts)
+            layer = place_round_robin(len(ranks), self.figures.experts)
             return (layer,) * self.figures.layers
         held = await asyncio.gather(*(self.port.read_layers(rank) for rank in ranks))
         if any(layers is None for layers in held):
@@ -305,13 +307,13 @@
         assert self.current is not None
         terms = self._terms()
         bounds = choose_bounds(self.policy, terms, self.figures, len(self.current[0]), self.load())
-        improved: tuple[Improved, ...] = ()
+        improved: tuple[ImprovedLayer, ...] = ()
         for found in improve_layers(self.current, demand, bounds, self._paces):
             improved = found
             # A plan takes some ms: streams are relayed in between.
             await asyncio.sleep(0)
-        before = sum(i.longest_before for i in improved) / len(improved)
-        after = sum(i.longest_after for i in improved) / len(improved)
+        before = sum(i.max_load_before for i in improved) / len(improved)
+        after = sum(i.max_load_after for i in improved) / len(improved)
         copies = sum(i.copies for i in improved)
         if not copies or before - after < terms.begin_gain * before:
             return
@@ -348,7 +350,7 @@
 
     async def _keep_plan(self, demand: list[list[float]]) -> None:
         self._slow = self._list_slow()
-        await self.duties.keep_plan(self.duty, KeptPlan(scale_demand(demand), self._slow))
+        await self.duties.keep_plan(self.duty, StoredPlan(scale_demand(demand), self._slow))
 
     def _list_slow(self) -> tuple[int, ...]:
         slow = tuple(rank for rank, pace in enumerate(self._paces) if pace >= SLOW_PACE)
@@ -375,7 +377,7 @@
         version = self._next_version(fence)
         self._lost_orders = False
         replies = await asyncio.gather(*(self._prepare(r, version, planned) for r in ranks))
-        if any(reply is not OrderReply.TAKEN for reply in replies):
+        if any(reply is not OrderReply.ACCEPTED for reply in replies):
             return SwitchOutcome.ABANDONED
         await asyncio.sleep(copy_s)
         outcome = SwitchOutcome.ABANDONED
--- a/dalehollow/gateway/planners.py
+++ b/dalehollow/gateway/planners.py
@@ -13,7 +13,7 @@
 from dalehollow.gateway.state import GatewayState
 from dalehollow.gateway.table import ExpertFigures
 from dalehollow.gateway.tasks import keep_running
-from dalehollow.groups.ranks import KeptPlan
+from dalehollow.groups.ranks import StoredPlan
 from dalehollow.platform.ranks import RankClient
 from dalehollow.platform.session import Session
 from dalehollow.rendezvous import count_before
@@ -58,7 +58,7 @@
         if listed.group_key in self.by_group:
             self.by_group[listed.group_key].note_epoch(listed.group_epoch)
 
-    def note_plan(self, duty: str, plan: KeptPlan) -> None:
+    def note_plan(self, duty: str, plan: StoredPlan) -> None:
         """Take in what the map of a group was last planned for."""
         # A duty bears the key of its group.
         self._state.upstreams.note_slow_ranks(duty, plan.slow_ranks)
--- a/dalehollow/groups/demand.py
+++ b/dalehollow/groups/demand.py
@@ -49,7 +49,7 @@
         mean_tokens = sum(map(sum, self.demand)) / len(self.demand)
         self.tokens_counted = mean_tokens / self._fast_variance
 
-    def moving_layers(self) -> list[bool]:
+    def changed_layers(self) -> list[bool]:
         """Return for each layer whether its demand has changed beyond sampling noise."""
         factor = self._fast_variance + self._slow_variance - 2 * self._covariance
         return [
--- a/dalehollow/groups/duty.py
+++ b/dalehollow/groups/duty.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class DutyRecord:
+class LeaseRecord:
     """Store the lease; `fence` increases with each takeover and `serial` with each write."""
 
     holder: str
@@ -28,7 +28,7 @@
 
 
 @dataclass
-class Duty:
+class PlannerLease:
     """Acquire and renew the planner lease of a group for one process.
 
     The record itself never expires, so that the fencing token is never lost. A lease has expired if
@@ -45,7 +45,7 @@
     _fence: int = 0
     _revision: int = 0
     _held_until_s: float = 0.0
-    _observed: DutyRecord | None = None
+    _observed: LeaseRecord | None = None
     _observed_at_s: float = 0.0
     calls: int = field(default=0)
 
@@ -61,15 +61,15 @@
         if isinstance(reply, Err):
             return self.fence()
         entry = reply.ok_value
-        record = msgspec.json.decode(entry.value, type=DutyRecord) if entry.revision else None
+        record = msgspec.json.decode(entry.value, type=LeaseRecord) if entry.revision else None
         if not self._may_write(record, requested_at_s):
             return self.fence()
         is_own = record is not None and record.holder == self.name and self.fence() is not None
         if record is None:
-            next_record = DutyRecord(self.name, 1, 1)
+            next_record = LeaseRecord(self.name, 1, 1)
         else:
             fence = record.fence if is_own else record.fence + 1
-            next_record = DutyRecord(self.name, fence, record.serial + 1)
+            next_record = LeaseRecord(self.name, fence, record.serial + 1)
         return self._write(next_record, entry.revision, requested_at_s)
 
     def release(self) -> None:
@@ -80,16 +80,16 @@
         reply = self.kv.get(self.key, timeout_s=1.0)
         if isinstance(reply, Err) or not reply.ok_value.revision:
             return
-        record = msgspec.json.decode(reply.ok_value.value, type=DutyRecord)
+        record = msgspec.json.decode(reply.ok_value.value, type=LeaseRecord)
         if record.holder == self.name and record.fence == self._fence:
-            released = DutyRecord(self.name, record.fence, record.serial + 1, is_released=True)
+            released = LeaseRecord(self.name, record.fence, record.serial + 1, is_released=True)
             self.kv.swap(
                 self.key,
                 msgspec.json.encode(released),
                 expected_revision=reply.ok_value.revision,
             )
 
-    def _may_write(self, record: DutyRecord | None, now_s: float) -> bool:
+    def _may_write(self, record: LeaseRecord | None, now_s: float) -> bool:
         if record is None or record.is_released:
             return True
         if record.holder == self.name:
@@ -100,7 +100,7 @@
             return False
         return now_s - self._observed_at_s >= self.lease_ms / _MS_PER_S
 
-    def _write(self, record: DutyRecord, revision: int, requested_at_s: float) -> int | None:
+    def _write(self, record: LeaseRecord, revision: int, requested_at_s: float) -> int | None:
         value = msgspec.json.encode(record)
         self.calls += 1
         swapped = self.kv.swap(self.key, value, expected_revision=revision, timeout_s=1.0)
--- a/dalehollow/groups/place.py
+++ b/dalehollow/groups/place.py
@@ -37,13 +37,13 @@
 
 
 @dataclass(frozen=True)
-class Improved:
+class ImprovedLayer:
     """Hold a changed layer, its copy count, and its highest load over the mean before and after."""
 
     layer: LayerMap
     copies: int
-    longest_before: float
-    longest_after: float
+    max_load_before: float
+    max_load_after: float
 
 
 def layer_loads(
@@ -63,7 +63,7 @@
     demand: Sequence[Sequence[float]],
     bounds: Bounds,
     paces: Sequence[float] | None = None,
-) -> Iterator[tuple[Improved, ...]]:
+) -> Iterator[tuple[ImprovedLayer, ...]]:
     """Yield the best layers found so far after each change, until no change improves them.
 
     The layer with the highest load is changed first, so that the copy limit of the ranks is spent
@@ -107,7 +107,9 @@
         self._initial_max_load = max(state.loads)
         self._best_gain = 0.0
         self._steps_since_best = 0
-        self.best = Improved(state.as_layer(), 0, self._initial_max_load, self._initial_max_load)
+        self.best = ImprovedLayer(
+            state.as_layer(), 0, self._initial_max_load, self._initial_max_load
+        )
         self.is_finished = False
 
     @property
@@ -125,7 +127,7 @@
         gain = self._initial_max_load - self.highest_load - self._state.bounds.price * copies
         self._steps_since_best += 1
         if gain > self._best_gain:
-            self.best = Improved(
+            self.best = ImprovedLayer(
                 self._state.as_layer(), copies, self._initial_max_load, self.highest_load
             )
             self._best_gain, self._steps_since_best = gain, 0
@@ -293,6 +295,6 @@
             self._copies_left[rank] -= len(set(held) - self._origin[rank])
 
 
-def deal_in_turn(ranks: int, experts: int) -> LayerMap:
+def place_round_robin(ranks: int, experts: int) -> LayerMap:
     """Return the initial layer of a group: expert e is placed on rank e modulo `ranks`."""
     return tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
--- a/dalehollow/groups/plan.py
+++ b/dalehollow/groups/plan.py
@@ -67,13 +67,13 @@
     *,
     speeds: Sequence[float] | None = None,
     tokens_counted: float | None = None,
-    moving: Sequence[bool] | None = None,
+    changed: Sequence[bool] | None = None,
     max_moves: int | None = None,
 ) -> Plan:
     """Plan the next map; a plan without moves keeps the current one.
 
     `demand` holds tokens for each expert of each layer. `tokens_counted` is the effective sample
-    size per layer, needed if the demand was scaled or smoothed. `moving` marks the layers whose
+    size per layer, needed if the demand was scaled or smoothed. `changed` marks the layers whose
     demand has changed significantly. `max_moves` is what the weight store can load in time.
     """
     before = step_skew(current, demand, speeds)
@@ -86,7 +86,7 @@
         sample_size = sum(demand[idx]) if tokens_counted is None else tokens_counted
         noise = _noise_skew(sum(demand[idx]), sample_size, current.ranks)
         start_skew = policy.min_skew + NOISE_SIGMAS * noise
-        if moving is not None and moving[idx]:
+        if changed is not None and changed[idx]:
             start_skew = policy.min_changed_skew + noise
         layers[idx], moves_used = _improve_layer(
             layers[idx],
--- a/dalehollow/groups/planner.py
+++ b/dalehollow/groups/planner.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class GroupLinks:
+class RankCalls:
     """Bundle the calls to a group's ranks; a failed call returns Err with the cause."""
 
     read: Callable[[int], Result[RankState, str]]
@@ -72,7 +72,7 @@
     group: str
     ranks: int
     policy: Policy
-    links: GroupLinks
+    rank_calls: RankCalls
     max_moves: int
     average: DemandAverage = field(default_factory=DemandAverage)
     last_reason: str = "no planning run yet"
@@ -102,7 +102,7 @@
             self.average.demand,
             self.policy,
             tokens_counted=self.average.tokens_counted,
-            moving=self.average.moving_layers(),
+            changed=self.average.changed_layers(),
             max_moves=self.max_moves,
         )
         self.last_reason = plan.reason
@@ -113,7 +113,7 @@
     def _read_ranks(self) -> dict[int, RankState] | None:
         states = {}
         for rank in range(self.ranks):
-            reply = self.links.read(rank)
+            reply = self.rank_calls.read(rank)
             if not isinstance(reply, Ok):
                 return None
             states[rank] = reply.ok_value
@@ -128,7 +128,7 @@
             return None
         digest = digests.pop()
         if digest not in self.maps:
-            reply = self.links.read_map()
+            reply = self.rank_calls.read_map()
             if isinstance(reply, Ok):
                 self.cache_map(reply.ok_value)
         return self.maps.get(digest)
@@ -166,7 +166,7 @@
         pending = set(range(self.ranks))
         for _ in range(MAX_LOAD_POLLS):
             for rank in sorted(pending):
-                state = self.links.load(rank, order)
+                state = self.rank_calls.load(rank, order)
                 if isinstance(state, Ok) and state.ok_value == "refused":
                     self.last_reason = (
                         f"rank {rank} refused to load: it has seen a newer planner's fence"
@@ -176,7 +176,7 @@
                     pending.discard(rank)
             if not pending:
                 return True
-            self.links.wait()
+            self.rank_calls.wait()
         self.last_reason = (
             f"ranks {sorted(pending)} did not load the weights in time; map unchanged"
         )
@@ -191,7 +191,7 @@
             switch_step=max(s.ledger.step for s in latest_states.values()) + SWITCH_LEAD_STEPS,
             map_digest=digest_map(plan.expert_map),
         )
-        votes = [self.links.vote(rank, proposal) for rank in range(self.ranks)]
+        votes = [self.rank_calls.vote(rank, proposal) for rank in range(self.ranks)]
         yes = sum(isinstance(v, Ok) and v.ok_value is Vote.YES for v in votes)
         log_event(
             _log,
--- a/dalehollow/groups/ranks.py
+++ b/dalehollow/groups/ranks.py
@@ -15,7 +15,7 @@
 class OrderReply(enum.StrEnum):
     """Name the reply to an order; an unanswered order may still be executed, even much later."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     REFUSED = "refused"
     UNANSWERED = "unanswered"
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class KeptPlan:
+class StoredPlan:
     """Store the part of the last plan that planners and gateways need.
 
     `demand` is in thousandths of a layer's total. `slow_ranks` get no requests while other ranks
--- a/dalehollow/groups/switch.py
+++ b/dalehollow/groups/switch.py
@@ -54,7 +54,7 @@
     for _ in range(ORDER_ATTEMPTS):
         reply = await order()
         is_final = reply is OrderReply.REFUSED and not retry_refusals
-        if reply is OrderReply.TAKEN or is_final:
+        if reply is OrderReply.ACCEPTED or is_final:
             return reply
         if reply is OrderReply.REFUSED:
             await asyncio.sleep(RETRY_PAUSE_S)
@@ -65,7 +65,7 @@
     """Switch all ranks to a map that they have been ordered to prepare.
 
     The planner lease is not checked here: a planner that loses it midway does no harm, because its
-    successor places a hold of its own on the group (`settle_switch`).
+    successor places a hold of its own on the group (`abort_unfinished_switch`).
     """
     holders, is_held, has_started = await _hold(port, ranks, proposal)
     if not is_held:
@@ -73,7 +73,7 @@
         return SwitchOutcome.TOO_LATE if has_started else SwitchOutcome.ABANDONED
     replies = await asyncio.gather(*(_arm(port, rank, proposal) for rank in ranks))
     outcome = SwitchOutcome.SWITCHED
-    if any(reply is not OrderReply.TAKEN for reply in replies):
+    if any(reply is not OrderReply.ACCEPTED for reply in replies):
         if not await _disarm_all(port, ranks, proposal):
             return SwitchOutcome.UNRESOLVED
         outcome = SwitchOutcome.ABANDONED
@@ -82,7 +82,7 @@
     return outcome
 
 
-async def settle_switch(
+async def abort_unfinished_switch(
     port: RankPort, reports: dict[int, RankReport], current: GroupMap, next_version: int
 ) -> bool:
     """Abort another planner's unfinished switch; return whether nothing of it remains.
@@ -127,7 +127,7 @@
                 return holders, False, True
             continue
         holders.append(rank)
-        if reply is OrderReply.TAKEN:
+        if reply is OrderReply.ACCEPTED:
             return holders, True, False
     return holders, False, False
 
@@ -163,7 +163,7 @@
             lambda: port.prepare(rank, newer_version, proposal.current, proposal.epoch),
             retry_refusals=False,
         )
-        if reply is OrderReply.TAKEN:
+        if reply is OrderReply.ACCEPTED:
             return True
     return False
 
--- a/dalehollow/groups/votes.py
+++ b/dalehollow/groups/votes.py
@@ -129,11 +129,11 @@
     )
 
 
-def may_enter(ledger: Ledger) -> bool:
+def may_start_step(ledger: Ledger) -> bool:
     """Return whether the engine may start its next step, whose map must be decided."""
     return ledger.armed is None or ledger.step < ledger.armed.switch_step
 
 
-def digest_in_step(ledger: Ledger) -> str:
+def next_step_digest(ledger: Ledger) -> str:
     """Return the digest of the map that the next step uses."""
     return ledger.previous_digest if is_switching(ledger) else ledger.map_digest
--- a/dalehollow/limits/__init__.py
+++ b/dalehollow/limits/__init__.py
@@ -7,10 +7,10 @@
 from dalehollow.limits.gate import Gate, GateLimits, GateLoad
 from dalehollow.limits.shares import (
     Allocator,
-    ShareAsk,
+    ShareRequest,
     choose_allocator,
+    compute_floor,
     fair_shares,
-    floor_of,
 )
 
 __all__ = [
@@ -19,9 +19,9 @@
     "GateLimits",
     "GateLoad",
     "RetryBudget",
-    "ShareAsk",
+    "ShareRequest",
     "TokenBucket",
     "choose_allocator",
+    "compute_floor",
     "fair_shares",
-    "floor_of",
 ]
--- a/dalehollow/platform/items.py
+++ b/dalehollow/platform/items.py
@@ -13,7 +13,7 @@
 from dalehollow.gateway.feed import HallFeed
 from dalehollow.gateway.listed import ListedUpstream, Member
 from dalehollow.gateway.table import RoutingTable
-from dalehollow.groups.ranks import KeptPlan
+from dalehollow.groups.ranks import StoredPlan
 from dalehollow.platform.names import (
     CONFIG_KEY,
     DUTY_PREFIX,
@@ -49,7 +49,7 @@
     # A duty and the name of the gateway that holds it, or None once nobody does.
     on_duty: Callable[[str, str | None], None]
     # A service and what the map of its group was last planned for.
-    on_plan: Callable[[str, KeptPlan], None]
+    on_plan: Callable[[str, StoredPlan], None]
 
 
 @dataclass(frozen=True)
@@ -123,7 +123,7 @@
             if key.startswith(UPSTREAM_PREFIX):
                 self._take_upstream(change, value)
             elif key.startswith(PLAN_PREFIX):
-                plan = msgspec.json.decode(value, type=KeptPlan)
+                plan = msgspec.json.decode(value, type=StoredPlan)
                 self._listener.on_plan(key.removeprefix(PLAN_PREFIX), plan)
             elif self._tell_gateway_key(key, value):
                 self._known.add(key)
--- a/dalehollow/platform/ranks.py
+++ b/dalehollow/platform/ranks.py
@@ -147,7 +147,7 @@
         answered = await self._call(rank, "POST", "/order", body, timeout_s)
         if answered is None:
             return OrderReply.UNANSWERED
-        return OrderReply.TAKEN if answered[0] in _TAKEN_STATUSES else OrderReply.REFUSED
+        return OrderReply.ACCEPTED if answered[0] in _TAKEN_STATUSES else OrderReply.REFUSED
 
     async def _get(self, rank: int, path: str) -> bytes | None:
         answered = await self._call(rank, "GET", path, b"", READ_TIMEOUT_S)
--- a/dalehollow/platform/session.py
+++ b/dalehollow/platform/session.py
@@ -18,7 +18,7 @@
 from dalehollow.errors import PlatformError
 from dalehollow.gateway.listed import Member
 from dalehollow.gateway.tasks import wait_set
-from dalehollow.groups.ranks import KeptPlan
+from dalehollow.groups.ranks import StoredPlan
 from dalehollow.platform.names import DUTY_PREFIX, MEMBER_PREFIX, PLAN_PREFIX
 from dalehollow.platform.store import ConflictError, LeaseGoneError, Store, StoreEra
 from dalehollow.protocol.revisions import read_era, show_revision
@@ -190,7 +190,7 @@
         log_event(_LOG, "duty_dropped", duty=duty, fence=show_revision(lease.revision), why=why)
         await lease.end()
 
-    async def keep_plan(self, duty: str, plan: KeptPlan) -> None:
+    async def keep_plan(self, duty: str, plan: StoredPlan) -> None:
         """Keep what a plan was made for, for planners to come and for the other gateways."""
         store = Store(self.address, self.era)
         try:
--- a/dalehollow/sidecar/rank_service.py
+++ b/dalehollow/sidecar/rank_service.py
@@ -7,7 +7,7 @@
 from dalehollow.clock import read_clock
 from dalehollow.config.holder import InForce
 from dalehollow.config.model import Config, Group
-from dalehollow.groups.duty import Duty
+from dalehollow.groups.duty import PlannerLease
 from dalehollow.groups.host import RankHost
 from dalehollow.platform.keyvalue import KeyValue
 from dalehollow.protocol import Prepare, RankQuery, Refused, Reply, VoteQuery
@@ -55,7 +55,7 @@
     def _begin(self, group: Group, cfg: Config) -> GroupRanks:
         duty = None
         if self.kv is not None:
-            duty = Duty(self.kv, f"duty/{group.name}", self.name, read_clock)
+            duty = PlannerLease(self.kv, f"duty/{group.name}", self.name, read_clock)
         ranks = GroupRanks(
             group, self.upstream, self.host, duty, self.plan_interval_ms, self.plan_max_moves
         )
--- a/dalehollow/sidecar/ranks.py
+++ b/dalehollow/sidecar/ranks.py
@@ -11,9 +11,9 @@
 
 from dalehollow.config.model import Config, Group
 from dalehollow.groups import POLICIES, ExpertMap, Ledger, Proposal, Vote
-from dalehollow.groups.duty import RENEW_MS, Duty
+from dalehollow.groups.duty import RENEW_MS, PlannerLease
 from dalehollow.groups.host import LoadOrder, LoadState, RankHost, RankState
-from dalehollow.groups.planner import GroupLinks, Planner
+from dalehollow.groups.planner import Planner, RankCalls
 from dalehollow.groups.voter import RankVoter, count_outcomes
 from dalehollow.groups.votes import ProposalId, is_switching
 from dalehollow.protocol import (
@@ -55,7 +55,7 @@
     group: Group
     upstream: str
     host: RankHost
-    duty: Duty | None
+    duty: PlannerLease | None
     plan_interval_ms: int
     plan_max_moves: int
     voters: dict[int, RankVoter] = field(default_factory=dict)
@@ -70,14 +70,14 @@
                 self.voters[rank] = RankVoter(
                     self.group.name, rank, len(self.group.ranks), self.host, self._vote
                 )
-        links = GroupLinks(
+        rank_calls = RankCalls(
             self._read, self._load, self._vote, self._read_map, lambda: _wait(self._stopping)
         )
         self.planner = Planner(
             self.group.name,
             len(self.group.ranks),
             POLICIES[self.group.policy],
-            links,
+            rank_calls,
             self.plan_max_moves,
         )
 
--- a/standins/ranks.py
+++ b/standins/ranks.py
@@ -22,7 +22,7 @@
 from dalehollow.groups.expert_map import make_layer
 from dalehollow.groups.host import LoadOrder, RankState
 from dalehollow.groups.planner import apply_changes, digest_map
-from dalehollow.groups.votes import Vote, apply_outcome, digest_in_step, may_enter
+from dalehollow.groups.votes import Vote, apply_outcome, may_start_step, next_step_digest
 from dalehollow.web import HttpRequest, HttpResponse, HttpServer
 from standins.serving import serve_until_signal
 
@@ -159,11 +159,11 @@
             time.sleep(step_s)
 
     def _may_step(self) -> bool:
-        return all(may_enter(r.ledger) and not r.is_stalled for r in self.ranks)
+        return all(may_start_step(r.ledger) and not r.is_stalled for r in self.ranks)
 
     def _step(self) -> float:
         """Run one step on every rank and return how long the slowest takes."""
-        used = [digest_in_step(rank.ledger) for rank in self.ranks]
+        used = [next_step_digest(rank.ledger) for rank in self.ranks]
         longest = mean = 0.0
         for layer, demand in enumerate(self.demand):
             loads = rank_loads(self.maps[used[0]].layers[layer], demand)
--- a/tests/fake_ranks.py
+++ b/tests/fake_ranks.py
@@ -76,7 +76,7 @@
         is_accepted = self._execute(name, rank, values)
         if delivery == "reply_lost":
             return OrderReply.UNANSWERED
-        return OrderReply.TAKEN if is_accepted else OrderReply.REFUSED
+        return OrderReply.ACCEPTED if is_accepted else OrderReply.REFUSED
 
     def _execute(self, name: str, rank: int, values: tuple[int, ...]) -> bool:
         state, (*rest, epoch) = self.ranks[rank], values
--- a/tests/group_bench.py
+++ b/tests/group_bench.py
@@ -12,7 +12,7 @@
 
 from dalehollow.groups import POLICIES, ExpertMap
 from dalehollow.groups.host import LoadOrder, RankState
-from dalehollow.groups.planner import GroupLinks, Planner
+from dalehollow.groups.planner import Planner, RankCalls
 from dalehollow.groups.voter import RankVoter
 from dalehollow.groups.votes import Outcome, Proposal, SwitchStep, Vote
 from standins.ranks import RankGroupStandIn
@@ -89,7 +89,7 @@
         self.voters[rank].resume()
 
     def make_planner(self, hook: Hook = pass_through) -> Planner:
-        links = GroupLinks(
+        rank_calls = RankCalls(
             read=lambda rank: hook(
                 SwitchStep.READ, lambda: InProcessHost(self.group, pass_through).read(rank)
             ),
@@ -100,7 +100,7 @@
             read_map=lambda: Ok(self.group.read_map(0)),
             wait=lambda: wait_for(lambda: True, "next poll"),
         )
-        return Planner("wide", RANKS, POLICIES["skew"], links, max_moves=100)
+        return Planner("wide", RANKS, POLICIES["skew"], rank_calls, max_moves=100)
 
     def run_planner(self, fence: int, hook: Hook = pass_through) -> Planner:
         """Run a planner twice, since it needs two reads for a window of counts, and return it."""
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from dalehollow.groups.duty import LEASE_MS, Duty
+from dalehollow.groups.duty import LEASE_MS, PlannerLease
 from tests.fake_keyvalue import FakeKeyValue
 
 NAMES = ("a", "b", "c")
@@ -24,8 +24,8 @@
         self.leases = {name: self.make_lease(name) for name in NAMES}
         self.fence_owners: dict[int, str] = {}
 
-    def make_lease(self, name: str) -> Duty:
-        return Duty(self.kv, "duty/g", name, clock=lambda: self.now_s)
+    def make_lease(self, name: str) -> PlannerLease:
+        return PlannerLease(self.kv, "duty/g", name, clock=lambda: self.now_s)
 
     @rule(step_s=st.floats(0.1, 4.0))
     def pass_time(self, step_s: float) -> None:
@@ -65,9 +65,11 @@
 TestLeaseMachine = LeaseMachine.TestCase
 
 
-def make_pair(margin_ms: int = 1_000) -> tuple[FakeKeyValue, list[float], Duty, Duty]:
+def make_pair(
+    margin_ms: int = 1_000,
+) -> tuple[FakeKeyValue, list[float], PlannerLease, PlannerLease]:
     kv, now = FakeKeyValue(), [0.0]
-    leases = [Duty(kv, "k", n, clock=lambda: now[0], margin_ms=margin_ms) for n in "ab"]
+    leases = [PlannerLease(kv, "k", n, clock=lambda: now[0], margin_ms=margin_ms) for n in "ab"]
     return kv, now, leases[0], leases[1]
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dalehollow.gateway import process
-from dalehollow.groups.ranks import KeptPlan
+from dalehollow.groups.ranks import StoredPlan
 from standins.server import EVENTS, Way, make_event, whole_stream
 from tests.gateway_bench import (
     HOST,
@@ -324,7 +324,7 @@
         asking = asyncio.ensure_future(bench.ask("/stream/1"))
         await slow.reached.wait()
         other = await bench.add_server("s2")
-        plan = KeptPlan(demand=(), slow_ranks=(0,))
+        plan = StoredPlan(demand=(), slow_ranks=(0,))
         other_entry = bench.gateway.state.upstreams.find("s2")
         assert other_entry is not None
         bench.list_server("s2", other_entry.address, group={**group, "rank": 1}, size=2)
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -89,7 +89,7 @@
             average.demand,
             POLICIES[policy],
             tokens_counted=average.tokens_counted,
-            moving=average.moving_layers(),
+            changed=average.changed_layers(),
         )
         assert plan.moves == 0, plan.reason
 
@@ -99,7 +99,7 @@
     for _ in range(5):
         average.add([[10_000.0] * 8, [10_000.0] * 8])
     average.add([[20_000.0] + [10_000.0] * 7, [10_000.0] * 8])
-    assert average.moving_layers() == [True, False]
+    assert average.changed_layers() == [True, False]
 
 
 def test_too_many_experts() -> None:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -15,7 +15,7 @@
 from dalehollow.gateway.plan_policy import PlanPolicy, PlanTerms
 from dalehollow.gateway.planner import GroupPlanner
 from dalehollow.gateway.table import ExpertFigures
-from dalehollow.groups.ranks import KeptPlan, OrderReply, RankCounts, RankReport
+from dalehollow.groups.ranks import OrderReply, RankCounts, RankReport, StoredPlan
 from tests.fake_ranks import FakeGroup
 
 RANKS, EXPERTS = 4, 16
@@ -27,7 +27,7 @@
 @dataclass
 class _Duties:
     held: int | None = 1
-    kept: list[KeptPlan] = field(default_factory=list)
+    kept: list[StoredPlan] = field(default_factory=list)
 
     def fence(self, duty: str) -> int | None:
         return self.held
@@ -39,7 +39,7 @@
     async def drop_duty(self, duty: str, why: str) -> None:
         self.held = None
 
-    async def keep_plan(self, duty: str, plan: KeptPlan) -> None:
+    async def keep_plan(self, duty: str, plan: StoredPlan) -> None:
         self.kept.append(plan)
 
 
--- a/tests/test_rank_groups.py
+++ b/tests/test_rank_groups.py
@@ -14,7 +14,7 @@
 from dalehollow.gateway.listed import ListedUpstream, Member
 from dalehollow.gateway.upstream import Upstream
 from dalehollow.gateway.upstreams import UpstreamSet
-from dalehollow.groups.ranks import KeptPlan
+from dalehollow.groups.ranks import StoredPlan
 from dalehollow.rendezvous import count_before
 from tests.gateway_bench import GatewayBench, make_config, run_bench
 
@@ -236,7 +236,7 @@
         await bench.apply(make_config(2, services=[service]))
         _list_groups(bench)
         await bench.until(lambda: len(bench.gateway._planners.by_group) == 2)
-        bench.gateway._planners.note_plan("desk/g0", KeptPlan(((9, 0, 0, 0),)))
+        bench.gateway._planners.note_plan("desk/g0", StoredPlan(((9, 0, 0, 0),)))
         planners = bench.gateway._planners.by_group
         assert planners["desk/g0"]._kept and not planners["desk/g1"]._kept
 
--- a/tests/test_suspended_vm.py
+++ b/tests/test_suspended_vm.py
@@ -16,7 +16,7 @@
 
 from dalehollow.clock import ClockLoop
 from dalehollow.gateway.listed import Member
-from dalehollow.groups.duty import Duty
+from dalehollow.groups.duty import PlannerLease
 from dalehollow.platform.session import Session
 from standins.metadata import MetadataStandIn
 from standins.platform import listen
@@ -47,7 +47,7 @@
         with suspended():
             assert session.fence("g") is None
         await session.end()
-        duty = Duty(FakeKeyValue(), "duty/g", "a")
+        duty = PlannerLease(FakeKeyValue(), "duty/g", "a")
         assert duty.advance() is not None
         with suspended(60.0):
             assert duty.fence() is None
--- a/tests/test_switch_map.py
+++ b/tests/test_switch_map.py
@@ -9,7 +9,7 @@
 
 from dalehollow.groups import switch
 from dalehollow.groups.ranks import OrderReply
-from dalehollow.groups.switch import Proposal, SwitchOutcome, settle_switch, switch_map
+from dalehollow.groups.switch import Proposal, SwitchOutcome, abort_unfinished_switch, switch_map
 from tests.fake_ranks import FakeGroup, MapsDifferError
 
 RANKS = 4
@@ -54,7 +54,7 @@
         version = 1_000_001
         for rank in range(RANKS):
             for _ in range(20):
-                if await group.prepare(rank, version, CURRENT, 1) is OrderReply.TAKEN:
+                if await group.prepare(rank, version, CURRENT, 1) is OrderReply.ACCEPTED:
                     break
         group.on_order = on_order
         outcome = "killed"
@@ -68,7 +68,7 @@
             for _ in range(rng.randint(0, 3)):
                 group.run_pass()
             reports = {r: await group.read_report(r) for r in range(RANKS)}
-            is_clean = await settle_switch(group, reports, CURRENT, fence * 1_000_000)  # type: ignore[arg-type]
+            is_clean = await abort_unfinished_switch(group, reports, CURRENT, fence * 1_000_000)  # type: ignore[arg-type]
             if is_clean and not any(r.held for r in group.ranks):
                 break
         while group.delayed:
@@ -139,14 +139,14 @@
         version = 1_000_001
         for rank in range(RANKS):
             for _ in range(30):
-                if await group.prepare(rank, version, CURRENT, 1) is OrderReply.TAKEN:
+                if await group.prepare(rank, version, CURRENT, 1) is OrderReply.ACCEPTED:
                     break
         proposal = Proposal(version, group.step + rng.randint(1, 5), 1, CURRENT)
         first = asyncio.ensure_future(switch_map(First(), range(RANKS), proposal))  # type: ignore[arg-type]
         while order_counts["first"] < pause_at and not first.done():
             await asyncio.sleep(0)
         reports = {r: await group.read_report(r) for r in range(RANKS)}
-        await settle_switch(Second(), reports, CURRENT, 2_000_000)  # type: ignore[arg-type]
+        await abort_unfinished_switch(Second(), reports, CURRENT, 2_000_000)  # type: ignore[arg-type]
         resumed.set()
         await first
         while group.delayed:
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -17,8 +17,8 @@
     Vote,
     apply_outcome,
     decide_vote,
-    digest_in_step,
-    may_enter,
+    may_start_step,
+    next_step_digest,
     tally_votes,
 )
 
@@ -70,10 +70,10 @@
                 yield replace(_replace_ledger(state, rank, after), sent=sent)
         if ledger.armed is not None:
             yield from _apply_outcomes(state, rank, ledger, ledger.armed, fault)
-        may = may_enter(ledger) or fault == "no_block_before_step"
+        may = may_start_step(ledger) or fault == "no_block_before_step"
         # Lock-step: a rank starts its next step once all have started the previous one.
         if may and ledger.step == slowest and ledger.step < LAST_STEP:
-            used = (ledger.step, digest_in_step(ledger))
+            used = (ledger.step, next_step_digest(ledger))
             advanced = replace(ledger, step=ledger.step + 1)
             yield replace(_replace_ledger(state, rank, advanced), used=state.used | {used})
 
