--- a/dalehollow/entry/shares.py
+++ b/dalehollow/entry/shares.py
@@ -17,7 +17,7 @@
 from dalehollow.config.model import Account, Config
 from dalehollow.limits import (
     Allocator,
-    ShareRequest,
+    EntryDemand,
     TokenBucket,
     choose_allocator,
     compute_floor,
@@ -214,7 +214,7 @@
         if allocator is None:
             allocator = Allocator(usage.limit_per_s * (1 - FLOOR_SHARE))
             self._allocators[name] = allocator
-        return allocator.answer(ShareRequest(sender, held, demand), self._entries, now_s)
+        return allocator.answer(EntryDemand(sender, held, demand), self._entries, now_s)
 
     def _take_shares(self, shares: Shares) -> None:
         with self._lock:
--- a/dalehollow/limits/__init__.py
+++ b/dalehollow/limits/__init__.py
@@ -7,7 +7,7 @@
 from dalehollow.limits.gate import Gate, GateLimits, GateLoad
 from dalehollow.limits.shares import (
     Allocator,
-    ShareRequest,
+    EntryDemand,
     choose_allocator,
     compute_floor,
     fair_shares,
@@ -15,11 +15,11 @@
 
 __all__ = [
     "Allocator",
+    "EntryDemand",
     "Gate",
     "GateLimits",
     "GateLoad",
     "RetryBudget",
-    "ShareRequest",
     "TokenBucket",
     "choose_allocator",
     "compute_floor",
--- a/dalehollow/limits/shares.py
+++ b/dalehollow/limits/shares.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class ShareRequest:
+class EntryDemand:
     """Report an entry's current grant and its demand to the allocator of an account."""
 
     entry: str
@@ -67,7 +67,7 @@
     limit_per_s: float
     _holders: dict[str, _Holder] = field(default_factory=dict)
 
-    def answer(self, request: ShareRequest, listed: Iterable[str], now_s: float) -> float:
+    def answer(self, request: EntryDemand, listed: Iterable[str], now_s: float) -> float:
         """Return the entry's new grant, which is not raised until all listed entries have asked.
 
         A listed entry that has not asked yet may hold any grant from a previous allocator, so
@@ -86,7 +86,7 @@
         """Change the limit; grants are reduced as their holders ask again."""
         self.limit_per_s = limit_per_s
 
-    def _record_grant(self, request: ShareRequest) -> None:
+    def _record_grant(self, request: EntryDemand) -> None:
         """Record the grant that an entry reports; a new incarnation reports 0."""
         self._holders[request.entry] = _Holder(request.held_per_s, request.demand_per_s)
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -11,7 +11,7 @@
 from dalehollow.config import check_text
 from dalehollow.entry import EntryProcess
 from dalehollow.entry.shares import ShareKeeper, held_shares
-from dalehollow.limits import Allocator, ShareRequest, fair_shares
+from dalehollow.limits import Allocator, EntryDemand, fair_shares
 from dalehollow.limits.shares import REMOVAL_DELAY_S
 from dalehollow.platform.vms import Vm
 from dalehollow.protocol import AskShares, Shares
@@ -58,7 +58,7 @@
 
     @rule(entry=st.sampled_from(ENTRIES), is_lost=st.booleans())
     def request(self, entry: str, is_lost: bool) -> None:
-        request = ShareRequest(entry, self.held[entry], self.demand[entry])
+        request = EntryDemand(entry, self.held[entry], self.demand[entry])
         granted = self.allocator.answer(request, ENTRIES, 0.0)
         if self.ignores_lost_answers:
             self.allocator._holders[entry].held_per_s = granted
@@ -110,12 +110,12 @@
 def test_share_of_a_removed_entry_is_released_after_a_delay() -> None:
     allocator = Allocator(LIMIT)
     for entry in ("a", "b"):
-        allocator.answer(ShareRequest(entry, 0.0, 500.0), ("a", "b"), 0.0)
-    held = allocator.answer(ShareRequest("a", 0.0, 500.0), ("a", "b"), 0.0)
-    assert allocator.answer(ShareRequest("b", 0.0, 500.0), ("a", "b"), 0.0) == pytest.approx(50.0)
-    assert allocator.answer(ShareRequest("a", held, 500.0), ("a",), 1.0) == pytest.approx(50.0)
+        allocator.answer(EntryDemand(entry, 0.0, 500.0), ("a", "b"), 0.0)
+    held = allocator.answer(EntryDemand("a", 0.0, 500.0), ("a", "b"), 0.0)
+    assert allocator.answer(EntryDemand("b", 0.0, 500.0), ("a", "b"), 0.0) == pytest.approx(50.0)
+    assert allocator.answer(EntryDemand("a", held, 500.0), ("a",), 1.0) == pytest.approx(50.0)
     later_s = 1.0 + REMOVAL_DELAY_S
-    assert allocator.answer(ShareRequest("a", held, 500.0), ("a",), later_s) == pytest.approx(100.0)
+    assert allocator.answer(EntryDemand("a", held, 500.0), ("a",), later_s) == pytest.approx(100.0)
 
 
 class Fleet:
