--- a/dalehollow/entry/shares.py
+++ b/dalehollow/entry/shares.py
@@ -17,10 +17,10 @@
 from dalehollow.config.model import Account, Config
 from dalehollow.limits import (
     Allocator,
-    ShareAsk,
+    EntryDemand,
     TokenBucket,
     choose_allocator,
-    floor_of,
+    compute_floor,
 )
 from dalehollow.limits.shares import FLOOR_SHARE
 from dalehollow.membership.vm_watch import list_entries
@@ -162,7 +162,7 @@
         limit = account.requests_per_s
         if cfg.count_entries() > MAX_ENTRIES_FOR_GLOBAL_SHARES and self.hall in cfg.halls:
             limit *= cfg.halls[self.hall].entries / cfg.count_entries()
-        return limit, floor_of(limit, self._count_sharing_entries(cfg))
+        return limit, compute_floor(limit, self._count_sharing_entries(cfg))
 
     def _count_sharing_entries(self, cfg: Config) -> int:
         if cfg.count_entries() > MAX_ENTRIES_FOR_GLOBAL_SHARES and self.hall in cfg.halls:
@@ -216,7 +216,7 @@
         if allocator is None:
             allocator = Allocator(usage.limit_per_s * (1 - FLOOR_SHARE))
             self._allocators[name] = allocator
-        return allocator.answer(ShareAsk(sender, held, demand), self._entries, now_s)
+        return allocator.answer(EntryDemand(sender, held, demand), self._entries, now_s)
 
     def _apply_shares(self, shares: ShareGrant) -> None:
         with self._lock:
--- a/dalehollow/gateway/planner.py
+++ b/dalehollow/gateway/planner.py
@@ -16,9 +16,9 @@
 from dalehollow.gateway.steps import StepClock
 from dalehollow.gateway.table import ExpertFigures
 from dalehollow.gateway.tasks import wait_set
-from dalehollow.groups.place import Improved, deal_in_turn, improve_layers, layer_loads
-from dalehollow.groups.ranks import GroupMap, KeptPlan, OrderReply, RankCounts, RankPort
-from dalehollow.groups.switch import Proposal, SwitchOutcome, settle_switch, switch_map
+from dalehollow.groups.place import ImprovedLayer, improve_layers, layer_loads, place_round_robin
+from dalehollow.groups.ranks import GroupMap, OrderReply, RankCounts, RankPort, StoredPlan
+from dalehollow.groups.switch import Proposal, SwitchOutcome, abort_unfinished_switch, switch_map
 from dalehollow.telemetry.logs import log_event
 
 VERSIONS_PER_FENCE = 1_000_000
@@ -69,7 +69,7 @@
     async def release_duty(self, duty: str, why: str) -> None:
         """Release a duty."""
 
-    async def store_plan(self, duty: str, plan: KeptPlan) -> None:
+    async def store_plan(self, duty: str, plan: StoredPlan) -> None:
         """Store the demand and the slow ranks that a plan is based on."""
 
 
@@ -249,7 +249,9 @@
         if not any(r.held_step for r in known.values()):
             return
         log_event(_LOG, "group_held", logging.WARNING, duty=self.duty, epoch=self._epoch)
-        if not await settle_switch(self.port, known, self.current, self._next_version(fence)):
+        if not await abort_unfinished_switch(
+            self.port, known, self.current, self._next_version(fence)
+        ):
             await self.duties.release_duty(self.duty, "hold could not be settled")
 
     def _advance_window_s(self) -> float:
@@ -282,7 +284,7 @@
         if current is None:
             return False
         next_version = self._next_version(fence)
-        if not await settle_switch(self.port, known, current, next_version):
+        if not await abort_unfinished_switch(self.port, known, current, next_version):
             await self.duties.release_duty(
                 self.duty, "another planner's switch could not be settled"
             )
@@ -295,7 +297,7 @@
 
     async def _read_map(self, ranks: list[int], version: int) -> GroupMap | None:
         if version == 0:
-            layer = deal_in_turn(len(ranks), self.figures.experts)
+            layer = place_round_robin(len(ranks), self.figures.experts)
             return (layer,) * self.figures.layers
         held = await asyncio.gather(*(self.port.read_layers(rank) for rank in ranks))
         if any(layers is None for layers in held):
@@ -311,13 +313,13 @@
         assert self.current is not None
         terms = self._select_terms()
         bounds = choose_bounds(self.policy, terms, self.figures, len(self.current[0]), self.load())
-        improved: tuple[Improved, ...] = ()
+        improved: tuple[ImprovedLayer, ...] = ()
         for found in improve_layers(self.current, demand, bounds, self._paces):
             improved = found
             # Planning takes some ms: yield so that streams are relayed in between.
             await asyncio.sleep(0)
-        before = sum(i.longest_before for i in improved) / len(improved)
-        after = sum(i.longest_after for i in improved) / len(improved)
+        before = sum(i.max_load_before for i in improved) / len(improved)
+        after = sum(i.max_load_after for i in improved) / len(improved)
         copies = sum(i.copies for i in improved)
         if not copies or before - after < terms.begin_gain * before:
             return
@@ -356,7 +358,7 @@
     async def _keep_plan(self, demand: list[list[float]]) -> None:
         self._stored_slow_ranks = self._find_slow_ranks()
         await self.duties.store_plan(
-            self.duty, KeptPlan(scale_demand(demand), self._stored_slow_ranks)
+            self.duty, StoredPlan(scale_demand(demand), self._stored_slow_ranks)
         )
 
     def _find_slow_ranks(self) -> tuple[int, ...]:
@@ -385,7 +387,7 @@
         version = self._next_version(fence)
         self._has_unanswered_orders = False
         replies = await asyncio.gather(*(self._prepare(r, version, planned) for r in ranks))
-        if any(reply is not OrderReply.TAKEN for reply in replies):
+        if any(reply is not OrderReply.ACCEPTED for reply in replies):
             return SwitchOutcome.ABANDONED
         await asyncio.sleep(copy_s)
         outcome = SwitchOutcome.ABANDONED
--- a/dalehollow/limits/__init__.py
+++ b/dalehollow/limits/__init__.py
@@ -7,21 +7,21 @@
 from dalehollow.limits.gate import Gate, GateLimits, GateLoad
 from dalehollow.limits.shares import (
     Allocator,
-    ShareAsk,
+    EntryDemand,
     choose_allocator,
+    compute_floor,
     fair_shares,
-    floor_of,
 )
 
 __all__ = [
     "Allocator",
+    "EntryDemand",
     "Gate",
     "GateLimits",
     "GateLoad",
     "RetryBudget",
-    "ShareAsk",
     "TokenBucket",
     "choose_allocator",
+    "compute_floor",
     "fair_shares",
-    "floor_of",
 ]
--- a/dalehollow/platform/ranks.py
+++ b/dalehollow/platform/ranks.py
@@ -148,7 +148,7 @@
         response = await self._call(rank, "POST", "/order", body, timeout_s)
         if response is None:
             return OrderReply.UNANSWERED
-        return OrderReply.TAKEN if response[0] in _TAKEN_STATUSES else OrderReply.REFUSED
+        return OrderReply.ACCEPTED if response[0] in _TAKEN_STATUSES else OrderReply.REFUSED
 
     async def _get(self, rank: int, path: str) -> bytes | None:
         response = await self._call(rank, "GET", path, b"", READ_TIMEOUT_S)
--- a/dalehollow/platform/session.py
+++ b/dalehollow/platform/session.py
@@ -18,7 +18,7 @@
 from dalehollow.errors import PlatformError
 from dalehollow.gateway.listed import Member
 from dalehollow.gateway.tasks import wait_set
-from dalehollow.groups.ranks import KeptPlan
+from dalehollow.groups.ranks import StoredPlan
 from dalehollow.platform.names import DUTY_PREFIX, MEMBER_PREFIX, PLAN_PREFIX
 from dalehollow.platform.store import ConflictError, LeaseGoneError, Store, StoreEra
 from dalehollow.protocol.revisions import format_revision, read_era
@@ -190,7 +190,7 @@
         log_event(_LOG, "duty_dropped", duty=duty, fence=format_revision(lease.revision), why=why)
         await lease.end()
 
-    async def store_plan(self, duty: str, plan: KeptPlan) -> None:
+    async def store_plan(self, duty: str, plan: StoredPlan) -> None:
         """Store the inputs of a plan for later planners and the other gateways."""
         store = Store(self.address, self.era)
         try:
