--- a/benchmarks/child.py
+++ b/benchmarks/child.py
@@ -24,7 +24,7 @@
 from dalehollow.groups import POLICIES, ExpertMap, plan_map
 from dalehollow.groups.expert_map import make_layer
 from dalehollow.limits import RetryBudget, TokenBucket
-from dalehollow.once import NEVER_MS, KeptAnswer, KeyTable, KeyTableLimits
+from dalehollow.once import COMPLETE_FROM_START_MS, KeyTable, KeyTableLimits, StoredAnswer
 from dalehollow.protocol import Beat, BeatReply
 from dalehollow.protocol.link import ControlServer, PeerLink
 from dalehollow.protocol.messages import encode
@@ -128,8 +128,8 @@
 
 
 def _keys(size: int) -> object:
-    table = KeyTable(KeyTableLimits(size, 2**30, 600_000, 2_000), NEVER_MS)
-    answer = KeptAnswer(200, {"content-type": "application/json"}, b"x" * 200)
+    table = KeyTable(KeyTableLimits(size, 2**30, 600_000, 2_000), COMPLETE_FROM_START_MS)
+    answer = StoredAnswer(200, {"content-type": "application/json"}, b"x" * 200)
     for i in range(size):
         scope = f"gate\0account-{i % 40}\0{i:036d}"
         table.begin(scope, hashlib.sha256(scope.encode()).hexdigest(), None, 1)
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -17,7 +17,7 @@
 from benchmarks.report import percentile, print_pairs
 from dalehollow.clock import read_clock
 from dalehollow.config.model import Account, Config, Hall
-from dalehollow.entry.shares import ShareKeeper, held_shares
+from dalehollow.entry.shares import ShareManager, held_shares
 from dalehollow.platform.vms import Vm
 from dalehollow.protocol import AskShares, Shares
 from dalehollow.web import HttpClient
@@ -106,7 +106,7 @@
 
 def _model(entries: int, halls: int) -> None:
     rng = random.Random(5)
-    keepers: dict[str, ShareKeeper] = {}
+    keepers: dict[str, ShareManager] = {}
     cut: set[str] = set()
 
     def make_ask(sender: str) -> Callable[[str, AskShares], Result[Shares, str]]:
@@ -130,8 +130,8 @@
         {},
     )
     for idx, name in enumerate(names):
-        keeper = ShareKeeper(name, f"h{idx % halls}", make_ask(name), clock=lambda: 0.0)
-        keeper.take_list(vms)
+        keeper = ShareManager(name, f"h{idx % halls}", make_ask(name), clock=lambda: 0.0)
+        keeper.update_vm_list(vms)
         keeper.apply(cfg)
         keepers[name] = keeper
     worst, used = 0.0, 0.0
--- a/dalehollow/entry/process.py
+++ b/dalehollow/entry/process.py
@@ -19,7 +19,7 @@
 from dalehollow.entry.attempt import UpstreamClient
 from dalehollow.entry.pool import Pool
 from dalehollow.entry.serve import JobDispatcher
-from dalehollow.entry.shares import ShareKeeper
+from dalehollow.entry.shares import ShareManager
 from dalehollow.errors import Failure, Reason
 from dalehollow.membership import PeerTasks, VmWatch
 from dalehollow.membership.vm_watch import list_leaving
@@ -94,10 +94,10 @@
         self.vm_watch = VmWatch(
             settings.platform, self._handle_vm_list, settings.vm_list_interval_ms
         )
-        self.shares = ShareKeeper(settings.name, settings.hall, self._request_shares)
+        self.shares = ShareManager(settings.name, settings.hall, self._request_shares)
         if settings.platform is None:
             # Without a platform there is no VM list, so limits are split evenly.
-            self.shares.take_list(())
+            self.shares.update_vm_list(())
         self._keys: Mapping[str, Account] = {}
         self._recent: deque[dict[str, object]] = deque(maxlen=MAX_RECENT_DECISIONS)
         self._lock = threading.Lock()
@@ -250,7 +250,7 @@
 
     def _handle_vm_list(self, vms: tuple[Vm, ...]) -> None:
         self.pool.set_listed_leaving(list_leaving(vms))
-        self.shares.take_list(vms)
+        self.shares.update_vm_list(vms)
 
     def _run_share_rounds(self) -> None:
         interval_s = self.settings.share_interval_ms / _MS_PER_S
--- a/dalehollow/entry/shares.py
+++ b/dalehollow/entry/shares.py
@@ -51,7 +51,7 @@
 
 
 @dataclass
-class ShareKeeper:
+class ShareManager:
     """Manage the rate-limit shares of one entry."""
 
     name: str
@@ -85,7 +85,7 @@
             for name, allocator in self._allocators.items():
                 allocator.resize(self._usages[name].limit_per_s * (1 - FLOOR_SHARE))
 
-    def take_list(self, vms: tuple[Vm, ...]) -> None:
+    def update_vm_list(self, vms: tuple[Vm, ...]) -> None:
         """Update the known entries, and whether the VM list contains any."""
         with self._lock:
             all_entries = list_entries(vms, None)
@@ -227,6 +227,6 @@
                     self._resize(usage)
 
 
-def held_shares(keeper: ShareKeeper) -> Mapping[str, float]:
+def held_shares(keeper: ShareManager) -> Mapping[str, float]:
     """Return each account's share in requests/s, for tests and benchmarks."""
     return {name: u.floor_per_s + u.held_per_s for name, u in keeper._usages.items()}
--- a/dalehollow/once/__init__.py
+++ b/dalehollow/once/__init__.py
@@ -5,23 +5,23 @@
 from dalehollow.once.birth import read_key_created_at_ms
 from dalehollow.once.owners import Generation, Owner, extend_generations, find_owner, make_scope
 from dalehollow.once.table import (
-    NEVER_MS,
-    KeptAnswer,
+    COMPLETE_FROM_START_MS,
     KeyRecord,
     KeyState,
     KeyTable,
     KeyTableLimits,
+    StoredAnswer,
 )
 
 __all__ = [
-    "NEVER_MS",
+    "COMPLETE_FROM_START_MS",
     "Generation",
-    "KeptAnswer",
     "KeyRecord",
     "KeyState",
     "KeyTable",
     "KeyTableLimits",
     "Owner",
+    "StoredAnswer",
     "extend_generations",
     "find_owner",
     "make_scope",
--- a/dalehollow/once/handover.py
+++ b/dalehollow/once/handover.py
@@ -18,7 +18,7 @@
 from result import Err, Ok, Result
 
 from dalehollow.errors import PlatformError
-from dalehollow.once.table import NEVER_MS, KeyRecord, KeyState
+from dalehollow.once.table import COMPLETE_FROM_START_MS, KeyRecord, KeyState
 from dalehollow.platform.keyvalue import KeyValue
 
 MAX_SNAPSHOT_BYTES = 900_000
@@ -179,7 +179,7 @@
 ) -> int:
     """Return the key creation time from which a new incarnation's table is complete."""
     if claim is not None and claim.is_first:
-        return NEVER_MS
+        return COMPLETE_FROM_START_MS
     if claim is not None and claim.snapshot is not None:
         snapshot = claim.snapshot
         return snapshot.complete_from_ms.get(service, snapshot.others_complete_from_ms)
--- a/dalehollow/once/table.py
+++ b/dalehollow/once/table.py
@@ -19,7 +19,7 @@
 RETRY_AFTER_IN_PROGRESS_MS = 500
 
 
-NEVER_MS = -(2**62)
+COMPLETE_FROM_START_MS = -(2**62)
 """The `complete_from_ms` of an owner that has no earlier incarnation."""
 
 
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class KeptAnswer:
+class StoredAnswer:
     """Hold the complete first response to a key."""
 
     status: int
@@ -62,7 +62,7 @@
     fingerprint: str
     state: KeyState
     expires_at_ms: int
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
 
 
 @dataclass
@@ -82,7 +82,7 @@
 
     def begin(
         self, scope: str, fingerprint: str, key_created_at_ms: int | None, now_ms: int
-    ) -> Result[KeptAnswer | None, Failure]:
+    ) -> Result[StoredAnswer | None, Failure]:
         """Accept a new key (Ok of None), return the stored response, or fail."""
         with self._lock:
             self._expire(now_ms)
@@ -102,7 +102,7 @@
             if record is not None and record.state is KeyState.RUNNING:
                 del self._records[scope]
 
-    def finish(self, scope: str, answer: KeptAnswer) -> None:
+    def finish(self, scope: str, answer: StoredAnswer) -> None:
         """Store a key's response; if it does not fit, record only that the request ran."""
         with self._lock:
             record = self._records.get(scope)
@@ -203,7 +203,7 @@
         return max(1, self._expiry[0][0] - now_ms) if self._expiry else 1
 
 
-def _resolve_known_key(record: KeyRecord, fingerprint: str) -> Result[KeptAnswer | None, Failure]:
+def _resolve_known_key(record: KeyRecord, fingerprint: str) -> Result[StoredAnswer | None, Failure]:
     if record.fingerprint != fingerprint:
         message = "the key was already used for a different request; this request was not run"
         return Err(Failure(Reason.KEY_REUSED, Verdict.NOT_RUN, message))
--- a/dalehollow/sidecar/forward.py
+++ b/dalehollow/sidecar/forward.py
@@ -11,7 +11,7 @@
 from dalehollow.clock import read_clock
 from dalehollow.errors import Failure, Reason
 from dalehollow.limits import Gate
-from dalehollow.once import KeptAnswer
+from dalehollow.once import StoredAnswer
 from dalehollow.protocol import headers as hdr
 from dalehollow.sidecar.call import InnerCall
 from dalehollow.sidecar.ownership import Ownership
@@ -84,7 +84,7 @@
         headers = self._relayed_headers(answer)
         return Ok(HttpResponse(answer.status, headers, self._relay(answer, started_s)))
 
-    def _run_buffered(self, req: HttpRequest, call: InnerCall) -> Result[KeptAnswer, Failure]:
+    def _run_buffered(self, req: HttpRequest, call: InnerCall) -> Result[StoredAnswer, Failure]:
         """Run a call and buffer the whole response so that it can be stored."""
         begun = self._start_call(req, call)
         if isinstance(begun, Err):
@@ -119,7 +119,7 @@
 
     def _read_buffered(
         self, call: InnerCall, answer: Answer, started_s: float
-    ) -> Result[KeptAnswer, Failure]:
+    ) -> Result[StoredAnswer, Failure]:
         try:
             body = answer.read()
         except AnswerCutError:
@@ -131,7 +131,7 @@
         finally:
             self.gate.release((read_clock() - started_s) * _MS_PER_S)
         headers = hdr.strip_own(answer.end_to_end_headers())
-        return Ok(KeptAnswer(answer.status, headers, body))
+        return Ok(StoredAnswer(answer.status, headers, body))
 
     def _relay(self, answer: Answer, started_s: float) -> Iterator[bytes]:
         """Yield the response as it arrives; the permit is held until it ends or is cancelled."""
@@ -162,14 +162,14 @@
             may_retry=ruling.may_retry,
         )
 
-    def _build_first_response(self, kept: KeptAnswer) -> HttpResponse:
-        return self._build_response(kept, is_replay=False)
+    def _build_first_response(self, stored: StoredAnswer) -> HttpResponse:
+        return self._build_response(stored, is_replay=False)
 
-    def _build_response(self, kept: KeptAnswer, *, is_replay: bool) -> HttpResponse:
-        headers = {**kept.headers, **self._sidecar_headers()}
+    def _build_response(self, stored: StoredAnswer, *, is_replay: bool) -> HttpResponse:
+        headers = {**stored.headers, **self._sidecar_headers()}
         if is_replay:
             headers[hdr.REPLAYED] = "true"
-        return HttpResponse(kept.status, headers, kept.body)
+        return HttpResponse(stored.status, headers, stored.body)
 
     def _relayed_headers(self, answer: Answer) -> dict[str, str]:
         return {**hdr.strip_own(answer.end_to_end_headers()), **self._sidecar_headers()}
--- a/tests/payment_bench.py
+++ b/tests/payment_bench.py
@@ -49,7 +49,7 @@
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-def make_dated_key() -> str:
+def make_timestamped_key() -> str:
     """Return a UUIDv7 with the current time."""
     return str(
         uuid.UUID(int=(int(time.time() * 1000) << 80) | (7 << 76) | (2 << 62) | next(_KEY_TAILS))
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -23,7 +23,7 @@
     MAX_RETRIES,
     Outcome,
     PaymentBench,
-    make_dated_key,
+    make_timestamped_key,
     wait_for,
 )
 
@@ -71,7 +71,7 @@
 
 @pytest.fixture
 def payment() -> Payment:
-    return Payment(make_dated_key(), uuid.uuid4().hex.encode())
+    return Payment(make_timestamped_key(), uuid.uuid4().hex.encode())
 
 
 def test_every_fault_meets_every_step() -> None:
@@ -288,20 +288,23 @@
     with Launcher() as launcher:
         bench = PaymentBench(launcher, horizon_ms=1_000)
         bench.start()
-        old_key, old_body = make_dated_key(), b"before"
+        old_key, old_body = make_timestamped_key(), b"before"
         first = bench.pay(0, old_body, old_key, LONG_DEADLINE_MS)
         assert first.status == 200
         manifest = bench.apply(("gate-2",))
         from_ms = manifest.generations["gate"][-1].from_ms
         wait_for(lambda: time.time() * 1000 > from_ms, "the new owner's generation to begin")
         retries = bench.pay(1, old_body, old_key, LONG_DEADLINE_MS)
-        young = bench.pay(1, b"after", make_dated_key(), LONG_DEADLINE_MS)
-        undated = bench.pay(1, b"undated", "undated", LONG_DEADLINE_MS)
+        newer = bench.pay(1, b"after", make_timestamped_key(), LONG_DEADLINE_MS)
+        without_timestamp = bench.pay(1, b"undated", "undated", LONG_DEADLINE_MS)
         assert first.body == retries.body
         assert bench.count_runs(old_body) == 1
-        assert young.status == 200
+        assert newer.status == 200
         assert json.loads(bench._get(bench.plain["gate-2"].http, "/_runs")) == {"after": 1}
-        assert (undated.verdict, undated.reason) == ("MAY_HAVE_RUN", "key_outcome_unknown")
+        assert (without_timestamp.verdict, without_timestamp.reason) == (
+            "MAY_HAVE_RUN",
+            "key_outcome_unknown",
+        )
         assert bench.count_runs(b"undated") == 0
 
 
@@ -316,11 +319,11 @@
         assert bench.pay(1, b"b", "undated-b", LONG_DEADLINE_MS).status == 200
         bench.sidecars["gate-1"].kill()
         bench.restart_owner()
-        doubted = bench.pay(1, b"a", "undated-a", LONG_DEADLINE_MS)
-        assert (doubted.verdict, doubted.reason) == ("MAY_HAVE_RUN", "key_outcome_unknown")
+        unknown = bench.pay(1, b"a", "undated-a", LONG_DEADLINE_MS)
+        assert (unknown.verdict, unknown.reason) == ("MAY_HAVE_RUN", "key_outcome_unknown")
         born_ms = int(time.time() * 1000)
         wait_for(lambda: time.time() * 1000 > born_ms + 50, "the clock bound to pass")
-        assert bench.pay(1, b"c", make_dated_key(), LONG_DEADLINE_MS).status == 200
+        assert bench.pay(1, b"c", make_timestamped_key(), LONG_DEADLINE_MS).status == 200
         assert bench.count_runs(b"a") == 1
 
 
--- a/tests/test_cut_halls.py
+++ b/tests/test_cut_halls.py
@@ -22,7 +22,7 @@
 from standins.hall import digest_key
 from standins.keyvalue import KeyValueStandIn
 from standins.plain import PlainStandIn
-from tests.payment_bench import make_dated_key, wait_for
+from tests.payment_bench import make_timestamped_key, wait_for
 from tests.relay import Relay
 
 HALLS = ("cmb-a", "ngb")
@@ -161,7 +161,7 @@
         answer = world.send(hall, "GET", f"read {number}")
         answer.read()
         assert answer.status == 200, "a repeatable request finds an upstream of its own hall"
-    payments = [(make_dated_key(), f"pay {number}") for number in range(PAYMENTS)]
+    payments = [(make_timestamped_key(), f"pay {number}") for number in range(PAYMENTS)]
     first = {}
     for key, body in payments:
         answer = world.send(hall, "POST", body, key)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -8,7 +8,7 @@
 import pytest
 from result import Ok
 
-from dalehollow.once import NEVER_MS, KeptAnswer, KeyRecord, KeyState
+from dalehollow.once import COMPLETE_FROM_START_MS, KeyRecord, KeyState, StoredAnswer
 from dalehollow.once.handover import (
     MAX_SNAPSHOT_BYTES,
     Claim,
@@ -21,9 +21,9 @@
 from tests.fake_keyvalue import FakeKeyValue
 
 MEMBER = "gate-1@127.0.0.1:1"
-ANSWER = KeptAnswer(200, {}, b"paid")
+ANSWER = StoredAnswer(200, {}, b"paid")
 SNAPSHOT = Snapshot(
-    NEVER_MS, {"gate": 5}, {"gate": {"k": KeyRecord("f", KeyState.DONE, 9, ANSWER)}}
+    COMPLETE_FROM_START_MS, {"gate": 5}, {"gate": {"k": KeyRecord("f", KeyState.DONE, 9, ANSWER)}}
 )
 STARTED_MS, BOUND_MS = 1_000, 50
 
@@ -57,7 +57,7 @@
 def test_first_incarnation_has_no_earlier_keys() -> None:
     first = claim(FakeKeyValue())
     assert first.is_first and first.snapshot is None
-    assert get_complete_from_ms(first, "gate", STARTED_MS, BOUND_MS) == NEVER_MS
+    assert get_complete_from_ms(first, "gate", STARTED_MS, BOUND_MS) == COMPLETE_FROM_START_MS
 
 
 def test_after_a_crash_earlier_keys_may_have_run() -> None:
@@ -74,7 +74,7 @@
     second = claim(kv)
     assert second.snapshot == SNAPSHOT
     assert get_complete_from_ms(second, "gate", STARTED_MS, BOUND_MS) == 5
-    assert get_complete_from_ms(second, "other", STARTED_MS, BOUND_MS) == NEVER_MS
+    assert get_complete_from_ms(second, "other", STARTED_MS, BOUND_MS) == COMPLETE_FROM_START_MS
 
 
 def test_a_crash_after_a_graceful_shutdown_invalidates_the_snapshot() -> None:
@@ -118,7 +118,7 @@
 
 def test_large_snapshots_drop_answers_but_never_single_keys() -> None:
     kv = FakeKeyValue()
-    answer = KeptAnswer(200, {}, b"x" * 2_000)
+    answer = StoredAnswer(200, {}, b"x" * 2_000)
     many = {f"k{i}": KeyRecord("f" * 64, KeyState.DONE, 9, answer) for i in range(1_000)}
     left = store_snapshot(kv, MEMBER, claim(kv).mark, Snapshot(0, {"gate": 5}, {"gate": many}))
     assert left.unwrap() < MAX_SNAPSHOT_BYTES
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -11,11 +11,11 @@
 
 from dalehollow.errors import Reason
 from dalehollow.once import (
-    NEVER_MS,
+    COMPLETE_FROM_START_MS,
     Generation,
-    KeptAnswer,
     KeyTable,
     KeyTableLimits,
+    StoredAnswer,
     extend_generations,
     find_owner,
     read_key_created_at_ms,
@@ -23,7 +23,7 @@
 from dalehollow.verdict import Verdict
 
 LIMITS = KeyTableLimits(capacity=4, answer_bytes=10_000, window_ms=1_000, clock_bound_ms=50)
-ANSWER = KeptAnswer(200, {"content-type": "text/plain"}, b"paid")
+ANSWER = StoredAnswer(200, {"content-type": "text/plain"}, b"paid")
 
 
 def make_uuid7(key_created_at_ms: int, tail: int = 1) -> str:
@@ -46,21 +46,21 @@
 
 
 def test_finished_key_returns_its_first_answer() -> None:
-    table = KeyTable(LIMITS, NEVER_MS)
+    table = KeyTable(LIMITS, COMPLETE_FROM_START_MS)
     assert table.begin("k", "f", None, 10).unwrap() is None
     table.finish("k", ANSWER)
     assert table.begin("k", "f", None, 20).unwrap() == ANSWER
 
 
 def test_key_for_another_request_is_refused() -> None:
-    table = KeyTable(LIMITS, NEVER_MS)
+    table = KeyTable(LIMITS, COMPLETE_FROM_START_MS)
     table.begin("k", "f", None, 10).unwrap()
     failure = table.begin("k", "other", None, 20).unwrap_err()
     assert (failure.reason, failure.verdict) == (Reason.KEY_REUSED, Verdict.NOT_RUN)
 
 
 def test_full_table_refuses_and_evicts_nothing() -> None:
-    table = KeyTable(LIMITS, NEVER_MS)
+    table = KeyTable(LIMITS, COMPLETE_FROM_START_MS)
     for idx in range(4):
         table.begin(f"k{idx}", "f", None, 10).unwrap()
         table.finish(f"k{idx}", ANSWER)
@@ -125,7 +125,7 @@
         self.now_ms = 10_000
         self.generations = self.extend((), ("a", "b", "c"))
         self.known = {m: (self.generations, self.now_ms) for m in "abcd"}
-        self.tables = {m: KeyTable(self.limits(), NEVER_MS) for m in "abcd"}
+        self.tables = {m: KeyTable(self.limits(), COMPLETE_FROM_START_MS) for m in "abcd"}
         self.runs: dict[str, int] = {}
         self.last_run_ms: dict[str, int] = {}
         self.sent: list[str] = []
@@ -162,7 +162,7 @@
     def restart(self, member: str) -> None:
         complete_from_ms = self.now_ms + self.BOUND_MS
         if self.seeded_fault == "forget_incarnation":
-            complete_from_ms = NEVER_MS
+            complete_from_ms = COMPLETE_FROM_START_MS
         self.tables[member] = KeyTable(self.limits(), complete_from_ms)
 
     @rule(member=st.sampled_from("abcd"))
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -10,7 +10,7 @@
 
 from dalehollow.config import check_text
 from dalehollow.entry import EntryProcess
-from dalehollow.entry.shares import ShareKeeper, held_shares
+from dalehollow.entry.shares import ShareManager, held_shares
 from dalehollow.limits import Allocator, ShareAsk, fair_shares
 from dalehollow.limits.shares import GONE_AFTER_S
 from dalehollow.platform.vms import Vm
@@ -120,7 +120,7 @@
 
     def __init__(self, count: int) -> None:
         self.cut: set[str] = set()
-        self.keepers: dict[str, ShareKeeper] = {}
+        self.keepers: dict[str, ShareManager] = {}
         vms = tuple(Vm(f"e{i}", "live", "cmb-a", f"e{i}") for i in range(count))
         halls = {
             "cmb-a": {"region": "lk-west", "entries": count},
@@ -128,8 +128,8 @@
         }
         cfg = check_text(make_text(halls=halls)).unwrap()
         for vm in vms:
-            keeper = ShareKeeper(vm.name, "cmb-a", self._make_ask(vm.name), clock=lambda: 0.0)
-            keeper.take_list(vms)
+            keeper = ShareManager(vm.name, "cmb-a", self._make_ask(vm.name), clock=lambda: 0.0)
+            keeper.update_vm_list(vms)
             keeper.apply(cfg)
             self.keepers[vm.name] = keeper
 
@@ -176,9 +176,9 @@
 
 def test_without_listed_entries_the_limit_is_split_evenly() -> None:
     cfg = check_text(make_text()).unwrap()
-    keeper = ShareKeeper("e0", "cmb-a", lambda address, ask: Err("nobody"))
+    keeper = ShareManager("e0", "cmb-a", lambda address, ask: Err("nobody"))
     keeper.apply(cfg)
-    keeper.take_list(())
+    keeper.update_vm_list(())
     assert held_shares(keeper)["colombo-city"] == pytest.approx(5 / cfg.count_entries())
 
 
