--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -14,7 +14,7 @@
 from dalehollow.web import HttpClient
 from standins.hall import digest_key
 from standins.processes import Launcher, Running
-from tests.payment_bench import FAST, wait_for
+from tests.payment_bench import FAST_SETTINGS, wait_for
 
 RANKS = 3
 
@@ -61,7 +61,7 @@
                 upstream=f"rank-{idx}",
                 upstream_http=ranks.http,
                 plan_interval_ms=200,
-                **FAST,
+                **FAST_SETTINGS,
             )
             for idx in range(RANKS)
         ]
