--- a/dalehollow/web/__init__.py
+++ b/dalehollow/web/__init__.py
@@ -1,4 +1,4 @@
-"""Speak HTTP with callers, upstreams and the platform through cheroot and urllib3."""
+"""Serve HTTP with cheroot and send HTTP requests with urllib3."""
 
 from __future__ import annotations
 
--- a/dalehollow/web/client.py
+++ b/dalehollow/web/client.py
@@ -1,4 +1,4 @@
-"""Call HTTP servers with urllib3 and tell exactly how far a failed call had come."""
+"""Send HTTP requests with urllib3 and report exactly how far a failed request got."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 
 READ_CHUNK_BYTES = 64 * 1024
-MAX_WHOLE_BYTES = 1024 * 1024
+MAX_BUFFERED_BODY_BYTES = 1024 * 1024
 _HOP_HEADERS = frozenset(
     {"connection", "keep-alive", "transfer-encoding", "te", "trailer", "upgrade", "content-length"}
 )
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class CallError:
-    """Describe a call that gave no answer; `sent` is False only if no byte was sent."""
+    """Describe a request without a response; `sent` is False only if no byte was sent."""
 
     sent: bool
     timed_out: bool
@@ -31,32 +31,32 @@
 
 
 class AnswerCutError(ConnectionError):
-    """Report that an answer ended before its framing said so."""
+    """Report a truncated response: the body ended before its framing says it does."""
 
 
 class Answer:
-    """Hold an answer whose head has come and whose body is still to be read."""
+    """Hold a response whose head was received and whose body is still to be read."""
 
     def __init__(
         self, response: urllib3.BaseHTTPResponse, own_pool: urllib3.HTTPConnectionPool | None
     ) -> None:
-        """Wrap the response; `own_pool` is closed with it."""
+        """Wrap a urllib3 response; `own_pool` is closed together with it."""
         self._response = response
         self._own_pool = own_pool
         self.status = response.status
         self.headers = {k.lower(): v for k, v in response.headers.items()}
 
     def end_to_end_headers(self) -> dict[str, str]:
-        """Return the headers meant for the far end."""
+        """Return all headers except the hop-by-hop ones."""
         return {k: v for k, v in self.headers.items() if k not in _HOP_HEADERS}
 
     def is_whole(self) -> bool:
-        """Return whether the length is known and small enough for the body to be read at once."""
+        """Return whether the body has a known length and is small enough to be buffered."""
         length = self.headers.get("content-length", "")
-        return length.isdigit() and int(length) <= MAX_WHOLE_BYTES
+        return length.isdigit() and int(length) <= MAX_BUFFERED_BODY_BYTES
 
     def read(self) -> bytes:
-        """Read the body whole; raise AnswerCutError if it was cut short."""
+        """Read the whole body; raise AnswerCutError if it is truncated."""
         try:
             data = self._response.read()
         except (HTTPError, OSError) as exc:
@@ -66,7 +66,7 @@
         return data
 
     def stream(self) -> Iterator[bytes]:
-        """Yield what is ready, adding no wait; raise AnswerCutError if cut short."""
+        """Yield data as soon as it arrives; raise AnswerCutError if the body is truncated."""
         is_complete = False
         try:
             while chunk := self._response.read1(READ_CHUNK_BYTES):
@@ -78,11 +78,11 @@
             if is_complete:
                 self._release()
             else:
-                # Closing an unfinished answer is how the far end learns of a cancel.
+                # Closing the connection before the end of the response tells the server to cancel.
                 self.close()
 
     def close(self) -> None:
-        """Drop the connection, which cancels what still runs at the far end."""
+        """Close the connection, which cancels the request at the server if it still runs."""
         self._response.close()
         self._close_own_pool()
 
@@ -96,16 +96,17 @@
 
 
 class HttpClient:
-    """Call servers; never retry and never follow redirects by itself.
+    """Send HTTP requests, without retries and without following redirects.
 
-    Connections are kept for peers of this system only. To an upstream each request gets one of
-    its own: a late second answer on a kept one would be taken for the next caller's.
+    Connections are reused only between processes of this system. Each request to an upstream gets
+    a connection of its own: on a reused one, a late second response to one request would be taken
+    for the response to the next caller's request.
     """
 
     def __init__(
         self, *, connect_timeout_s: float, max_connections: int = 512, keeps: bool = True
     ) -> None:
-        """Prepare; `connect_timeout_s` bounds each connection attempt."""
+        """Create the connection pools; `connect_timeout_s` bounds each connection attempt."""
         self._connect_timeout_s = connect_timeout_s
         self._keeps = keeps
         self._pools = urllib3.PoolManager(num_pools=256, maxsize=max_connections, block=False)
@@ -120,9 +121,9 @@
         body: bytes | None = None,
         timeout_s: float,
     ) -> Result[Answer, CallError]:
-        """Send one request and wait for the head of its answer.
+        """Send one request and wait for the head of the response.
 
-        `timeout_s` bounds the wait between any two reads, not the whole call.
+        `timeout_s` bounds the wait for each read, not the duration of the whole call.
         """
         host, _, port = address.rpartition(":")
         pool = (
@@ -154,5 +155,5 @@
         return Ok(Answer(response, None if self._keeps else pool))
 
     def close(self) -> None:
-        """Close idle connections."""
+        """Close idle pooled connections."""
         self._pools.clear()
--- a/dalehollow/web/messages.py
+++ b/dalehollow/web/messages.py
@@ -1,4 +1,4 @@
-"""Hold one HTTP request and one response as plain data."""
+"""Define the data classes for HTTP requests and responses."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """Hold one request, its body read whole; header names are in lower case."""
+    """Hold one request with its complete body; header names are in lower case."""
 
     method: str
     path: str
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class HttpResponse:
-    """Hold one response; an iterator as body is streamed and closed when the caller is gone."""
+    """Hold one response; an iterator body is streamed, and closed if the client disconnects."""
 
     status: int
     headers: Mapping[str, str] = field(default_factory=dict)
--- a/dalehollow/web/refusal.py
+++ b/dalehollow/web/refusal.py
@@ -1,4 +1,4 @@
-"""Turn failures into responses, and an inner response back into a failure."""
+"""Convert failures to HTTP responses, and error responses of sidecars back to failures."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def make_refusal(failure: Failure, *, request_id: str) -> HttpResponse:
-    """Return the response that carries a failure: status, headers and JSON body."""
+    """Return the HTTP response for a failure: status, headers and JSON body."""
     headers = {
         "content-type": "application/json",
         hdr.VERDICT: failure.verdict,
@@ -38,7 +38,7 @@
 
 
 def read_refusal(headers: Mapping[str, str], body: bytes) -> Failure | None:
-    """Return the failure that a sidecar's response carries, or None for an upstream's answer."""
+    """Return the failure in a sidecar's response, or None for a response of an upstream."""
     if hdr.REASON not in headers:
         return None
     retry_after = headers.get(hdr.RETRY_AFTER_MS)
@@ -53,7 +53,7 @@
 
 
 def _read_ms(value: str | None) -> int | None:
-    """Return milliseconds from 0, None for what is missing or no such number."""
+    """Return the milliseconds; None if the value is missing or not a non-negative integer."""
     return int(value) if value is not None and value.isascii() and value.isdigit() else None
 
 
@@ -61,4 +61,4 @@
     try:
         return str(json.loads(body)["error"]["message"])
     except (ValueError, KeyError, TypeError):
-        return "no message"
+        return "the sidecar gave no error message"
--- a/dalehollow/web/server.py
+++ b/dalehollow/web/server.py
@@ -1,4 +1,4 @@
-"""Serve HTTP with cheroot, one thread for each connection that has a request in hand."""
+"""Serve HTTP with cheroot, with one thread per connection that has a request in progress."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def _is_socket_open(sock: socket.socket) -> bool:
     """Return False once the peer has closed or reset the connection."""
     try:
-        # Not select.select: it cannot look at descriptors from 1,024 on.
+        # poll, because select.select does not support file descriptors of 1,024 and above.
         poller = select.poll()
         poller.register(sock, select.POLLIN)
         return not poller.poll(0) or bool(sock.recv(1, socket.MSG_PEEK))
@@ -34,8 +34,8 @@
         return False
 
 
-class _Activity:
-    """Count the requests in hand; `is_closing` ends kept connections with their next answer."""
+class _RequestTracker:
+    """Count requests in progress; `is_closing` closes connections after their next response."""
 
     def __init__(self) -> None:
         self.is_closing = False
@@ -57,30 +57,30 @@
             return self._count
 
 
-def _make_gateway(handler: Handler, activity: _Activity) -> type:
+def _make_gateway(handler: Handler, tracker: _RequestTracker) -> type:
     class _HandlerGateway(Gateway):
         def respond(self) -> None:
-            activity.enter()
+            tracker.enter()
             try:
-                _respond(self.req, handler, activity)
+                _respond(self.req, handler, tracker)
             finally:
-                activity.leave()
+                tracker.leave()
 
     return _HandlerGateway
 
 
-def _respond(req: Any, handler: Handler, activity: _Activity) -> None:
+def _respond(req: Any, handler: Handler, tracker: _RequestTracker) -> None:
     body = _read_body(req)
     if body is None:
         return
-    req.is_handed_over = True
+    req.is_dispatched = True
     response = handler(_convert_request(req, body))
-    req.status = f"{response.status} {_find_phrase(response.status)}".encode()
+    req.status = f"{response.status} {_reason_phrase(response.status)}".encode()
     headers = [(k.encode("latin-1"), v.encode("latin-1")) for k, v in response.headers.items()]
     if isinstance(response.body, bytes):
         headers.append((b"Content-Length", str(len(response.body)).encode()))
     req.outheaders = headers
-    if activity.is_closing:
+    if tracker.is_closing:
         req.close_connection = True
     if isinstance(response.body, bytes):
         req.ensure_headers_sent()
@@ -89,7 +89,7 @@
     _stream_body(req, response.body)
 
 
-def _find_phrase(status: int) -> str:
+def _reason_phrase(status: int) -> str:
     try:
         return HTTPStatus(status).phrase
     except ValueError:
@@ -97,13 +97,13 @@
 
 
 def _read_body(req: Any) -> bytes | None:
-    """Read a request's body whole, or refuse it and return None."""
+    """Read the whole body of a request; if it is invalid, send an error and return None."""
     try:
         body: bytes = req.rfile.read()
     except OSError as exc:
         if not _is_too_large(exc):
             raise
-        message = f"the body is over {MAX_BODY_BYTES} bytes"
+        message = f"request body exceeds {MAX_BODY_BYTES} bytes"
         req.simple_response("413 Request Entity Too Large", message)
         return None
     except ValueError as exc:
@@ -111,21 +111,23 @@
         return None
     missing = getattr(req.rfile, "remaining", 0)
     if missing:
-        req.simple_response("400 Bad Request", f"the body ended {missing} bytes early")
+        req.simple_response(
+            "400 Bad Request", f"request body truncated: {missing} bytes are missing"
+        )
         return None
     return body
 
 
 def _is_too_large(exc: OSError) -> bool:
-    """Return whether the chunk reader gave up for size; it says so in two ways."""
+    """Return whether cheroot rejected a body for its size; it raises two kinds of error."""
     return isinstance(exc, MaxSizeExceeded) or exc.args[:1] == ("Request Entity Too Large",)
 
 
 def _write_chunk(req: Any, chunk: bytes) -> None:
-    """Write one piece of a streamed body.
+    """Write one chunk of a streamed body directly to the socket.
 
-    The server's own writer is flushed after every write, so writing past it keeps the order; it
-    would cost as much as all the rest of relaying a token.
+    cheroot's writer would cost as much as all other work of relaying a token. It is flushed after
+    every write, so bypassing it keeps the bytes in order.
     """
     if req.chunked_write:
         chunk = b"%x\r\n%b\r\n" % (len(chunk), chunk)
@@ -133,7 +135,7 @@
 
 
 def _stream_body(req: Any, chunks: Iterable[bytes]) -> None:
-    """Write chunks as they come; leave the framing open when the source fails."""
+    """Write chunks as they arrive; leave the body unterminated if the source fails."""
     try:
         for chunk in chunks:
             if not chunk:
@@ -141,7 +143,7 @@
             req.ensure_headers_sent()
             _write_chunk(req, chunk)
     finally:
-        # A source that failed before its first chunk is shown as a cut answer, not as a refusal.
+        # A source that fails before its first chunk gives a truncated response, not an error one.
         req.ensure_headers_sent()
         close = getattr(chunks, "close", None)
         if close is not None:
@@ -150,7 +152,7 @@
 
 def _convert_request(req: Any, body: bytes) -> HttpRequest:
     sock = req.conn.socket
-    # The target as it was sent: decoded, an escaped '?' or '/' would mean another one upstream.
+    # Forward the target undecoded: a decoded '?' or '/' would change its meaning upstream.
     target = req.uri if req.uri.startswith(b"/") else req.path + b"?" + (req.qs or b"")
     path, _, query = target.decode("latin-1").partition("?")
     return HttpRequest(
@@ -167,12 +169,12 @@
 
 
 class HttpServer:
-    """Run a cheroot server in a thread of its own; port 0 picks a free port."""
+    """Run a cheroot server in its own thread; port 0 selects a free port."""
 
     def __init__(self, host: str, port: int, handler: Handler, *, name: str) -> None:
-        """Bind and prepare, so that the address is known before the first request."""
-        self._activity = _Activity()
-        self._server = HTTPServer((host, port), _make_gateway(handler, self._activity))
+        """Bind the socket, so that the address is known before the first request."""
+        self._tracker = _RequestTracker()
+        self._server = HTTPServer((host, port), _make_gateway(handler, self._tracker))
         self._server.ConnectionClass = StrictConnection
         self._server.requests = ThreadPerRequest(self._server)
         self._server.request_queue_size = _ACCEPT_BACKLOG
@@ -193,21 +195,21 @@
         return f"{host}:{port}"
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Start to accept connections."""
         self._thread.start()
 
     def begin_closing(self) -> None:
-        """End each kept connection with its next answer."""
-        self._activity.is_closing = True
+        """Close each persistent connection after its next response."""
+        self._tracker.is_closing = True
 
     def wait_idle(self, timeout_s: float) -> int:
-        """Wait until no request is in hand and return how many still are."""
-        return self._activity.wait_idle(timeout_s)
+        """Wait until no request is in progress; return how many are after `timeout_s`."""
+        return self._tracker.wait_idle(timeout_s)
 
     def stop(self) -> None:
-        """Close the listener and idle connections; requests in hand are not waited for."""
+        """Close the listener and idle connections without waiting for requests in progress."""
         self._server.stop()
 
 
 def _ignore_log(msg: str = "", level: int = 20, traceback: bool = False) -> None:
-    """Drop cheroot's own log lines; failures are logged where they are judged."""
+    """Discard cheroot's log messages; failures are logged where they are handled."""
--- a/dalehollow/web/strict.py
+++ b/dalehollow/web/strict.py
@@ -1,4 +1,4 @@
-"""Read HTTP more strictly than the server library, and refuse in the system's own form."""
+"""Parse HTTP more strictly than cheroot, and send errors in the format of this system."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class _StrictHeaderReader(HeaderReader):
-    """Refuse repeated headers and conflicting lengths, which smuggling relies on."""
+    """Reject repeated headers and conflicting lengths, which request smuggling relies on."""
 
     def __call__(self, rfile: Any, hdict: dict[bytes, bytes] | None = None) -> dict[bytes, bytes]:
         headers: dict[bytes, bytes] = _UniqueHeaders() if hdict is None or not hdict else hdict
@@ -27,7 +27,7 @@
 
 
 class _UniqueHeaders(dict[bytes, bytes]):
-    """Refuse a second value for a header name."""
+    """Reject a second value for a header name."""
 
     def __setitem__(self, key: bytes, value: bytes) -> None:
         if key in self:
@@ -36,19 +36,19 @@
 
 
 class _StrictRequest(HTTPRequest):
-    """Answer malformed requests with the same JSON body as every other refusal."""
+    """Answer malformed requests with the same JSON body as any other error."""
 
     header_reader = _StrictHeaderReader()
-    is_handed_over = False
+    is_dispatched = False
 
     def simple_response(self, status: object, msg: str = "") -> None:
-        """Write a refusal that no handler made, and close."""
+        """Send an error response that does not come from the handler, and close."""
         text = str(status)
         if text.startswith("100"):
             super().simple_response(text, msg)
             return
-        verdict = Verdict.MAY_HAVE_RUN if self.is_handed_over else Verdict.NOT_RUN
-        reason = "internal_error" if self.is_handed_over else "bad_request"
+        verdict = Verdict.MAY_HAVE_RUN if self.is_dispatched else Verdict.NOT_RUN
+        reason = "internal_error" if self.is_dispatched else "bad_request"
         body = refusal_body(reason, verdict, msg or text)
         head = (
             f"HTTP/1.1 {text}\r\nContent-Type: application/json\r\n"
@@ -60,13 +60,13 @@
 
 
 class StrictConnection(HTTPConnection):
-    """Parse requests strictly."""
+    """Parse the requests of a connection strictly."""
 
     RequestHandlerClass = _StrictRequest
 
 
 def refusal_body(reason: str, verdict: Verdict, message: str) -> bytes:
-    """Return the JSON body that every refusal carries."""
+    """Return the JSON body of an error response."""
     return json.dumps(
         {"error": {"reason": reason, "verdict": verdict, "message": message}}
     ).encode()
--- a/dalehollow/web/threads.py
+++ b/dalehollow/web/threads.py
@@ -1,4 +1,4 @@
-"""Serve each connection that has a request in hand on a thread of its own."""
+"""Provide a thread pool for cheroot with one thread per request in progress."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class ThreadPerRequest:
-    """Serve each readable connection on a thread of its own, reusing idle threads.
+    """Serve each readable connection on its own thread, reusing idle threads.
 
-    Implements the pool interface that cheroot documents: min, get, put, start, stop.
+    Implements the thread pool interface that cheroot documents: min, get, put, start, stop.
     """
 
     min = 1
@@ -29,25 +29,25 @@
 
     @property
     def idle(self) -> int:
-        """Return that there is always a thread to spare."""
+        """Report that a thread is always available."""
         return 1
 
     @property
     def qsize(self) -> int:
-        """Return that nothing waits."""
+        """Report that no connection is queued."""
         return 0
 
     def start(self) -> None:
-        """Begin without threads."""
+        """Create the executor, which starts threads on demand."""
         self._executor = ThreadPoolExecutor(MAX_THREADS, thread_name_prefix="conn")
 
     def put(self, conn: Any) -> None:
-        """Serve a readable connection."""
+        """Schedule a readable connection to be served."""
         if self._executor is not None:
             self._executor.submit(self._serve, conn)
 
     def stop(self, timeout: float = 5) -> None:
-        """Take no more connections; those in hand are waited for elsewhere."""
+        """Accept no more connections; HttpServer.wait_idle waits for requests in progress."""
         if self._executor is not None:
             self._executor.shutdown(wait=False, cancel_futures=True)
 
@@ -61,11 +61,14 @@
             if keep:
                 self._server.put_conn(conn)
             else:
-                _close_gently(conn)
+                _close_lingering(conn)
 
 
-def _close_gently(conn: Any) -> None:
-    """Close after the peer has read what was sent: unread bytes would reset the connection."""
+def _close_lingering(conn: Any) -> None:
+    """Close after the peer has read the response.
+
+    Closing a socket with unread input would reset the connection and could lose the response.
+    """
     deadline_s = read_clock() + _LINGER_S
     try:
         conn.socket.shutdown(socket.SHUT_WR)
