--- a/dalehollow/aio/__init__.py
+++ b/dalehollow/aio/__init__.py
@@ -1,4 +1,4 @@
-"""Speak HTTP/1.1 over asyncio with httptools: many streams in one small process."""
+"""Serve and call HTTP/1.1 over asyncio with httptools: many streams in one small process."""
 
 from __future__ import annotations
 
--- a/dalehollow/aio/caller.py
+++ b/dalehollow/aio/caller.py
@@ -1,4 +1,4 @@
-"""Serve callers: read whole requests from each connection and answer them in order."""
+"""Serve HTTP/1.1: read complete requests from each connection and answer them in order."""
 
 from __future__ import annotations
 
@@ -18,12 +18,15 @@
 _LOG = logging.getLogger(__name__)
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 _LAST_CHUNK = b"0\r\n\r\n"
-_PHRASES = {status.value: status.phrase for status in HTTPStatus}
+_REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
 @dataclass(frozen=True)
 class Limits:
-    """Bound what a caller may send, and how long it may take or rest; all in force at once."""
+    """Limit the size of requests, the time to receive one, and how long a connection may idle.
+
+    Changed limits apply to open connections as well.
+    """
 
     max_header_bytes: int
     max_body_bytes: int
@@ -33,7 +36,10 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """Hold one whole request; header names are in lower case, times on the monotonic clock."""
+    """Hold one complete request; header names are in lower case.
+
+    `began_at_s` is the time of the first byte on the clock of the event loop.
+    """
 
     method: bytes
     target: bytes
@@ -50,7 +56,7 @@
 
 
 class CallerConnection(asyncio.Protocol):
-    """Carry one caller's requests; the handler of a request is cancelled when the caller leaves."""
+    """Serve one caller's connection; the handler is cancelled if the caller disconnects."""
 
     def __init__(
         self,
@@ -58,7 +64,7 @@
         read_limits: Callable[[], Limits],
         connections: set[CallerConnection],
     ) -> None:
-        """Prepare; the connection stands in `connections` while it is open."""
+        """Create an unconnected protocol; it adds itself to `connections` while it is open."""
         self._handler = handler
         self._read_limits = read_limits
         self._connections = connections
@@ -76,17 +82,17 @@
         self._head_bytes = 0
         self._is_reading_head = False
         self._began_at_s = 0.0
-        self._refused_status = 0
+        self._error_status = 0
         self._head_sent = False
         self._is_chunked = False
         self.keeps_alive = True
         self.is_busy = False
         self.is_gone = False
 
-    # The connection, as asyncio reports it.
+    # asyncio.Protocol callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin the task that serves this connection."""
+        """Start the task that serves this connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         tune_socket(transport)
@@ -94,8 +100,8 @@
         self._task = asyncio.get_running_loop().create_task(self._serve())
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came, until the connection is to be closed."""
-        if self._refused_status:
+        """Feed the parser; ignore data after a rejected request, as the connection will close."""
+        if self._error_status:
             return
         if not self._is_reading_head and not self._body_bytes and not self._headers:
             self._began_at_s = asyncio.get_running_loop().time()
@@ -103,16 +109,16 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(HTTPStatus.BAD_REQUEST)
+            self._reject(HTTPStatus.BAD_REQUEST)
         except httptools.HttpParserError:
-            self._refuse(self._refused_status or HTTPStatus.BAD_REQUEST)
+            self._reject(self._error_status or HTTPStatus.BAD_REQUEST)
 
     def eof_received(self) -> bool:
-        """Take a half-closed connection for a caller that has left."""
+        """Close the transport: a half-closed connection counts as a caller that disconnected."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel what is still being done for this caller."""
+        """Cancel the task that serves this connection."""
         self.is_gone = True
         self._connections.discard(self)
         self._writable.set()
@@ -120,54 +126,54 @@
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Note that the caller reads slowly."""
+        """Make send_piece wait until the write buffer drains."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Note that the caller has caught up."""
+        """Let send_piece continue."""
         self._writable.set()
 
-    # The request, as the parser reports it.
+    # httptools parser callbacks
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the state for a new request."""
         self._target, self._headers, self._body = b"", [], []
         self._body_bytes = 0
         self._is_reading_head = True
         self._arrived.set()
 
     def on_url(self, url: bytes) -> None:
-        """Collect the target as it was sent."""
+        """Append to the request target, undecoded."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Append a header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Check the size of the head, and let a caller that asks go on with its body."""
+        """Check the size of the head and answer `Expect: 100-continue`."""
         self._is_reading_head = False
         limits = self._read_limits()
         head_bytes = len(self._target) + sum(len(k) + len(v) + 4 for k, v in self._headers)
         self._head_bytes = 0
         if head_bytes > limits.max_header_bytes:
-            self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+            self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
             return
         names = dict(self._headers)
         if names.get(b"expect", b"").lower() == b"100-continue" and self._transport:
             self._transport.write(_CONTINUE)
 
     def on_body(self, body: bytes) -> None:
-        """Collect a piece of the body."""
+        """Append to the body and check its size."""
         self._body_bytes += len(body)
         if self._body_bytes > self._read_limits().max_body_bytes:
-            self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            self._reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
             return
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the whole request to the task."""
-        if self._refused_status:
+        """Queue the complete request for the serving task."""
+        if self._error_status:
             return
         request = CallerRequest(
             method=self._parser.get_method(),
@@ -183,17 +189,17 @@
         if len(self._requests) > 1 and self._transport is not None:
             self._transport.pause_reading()
 
-    # What handlers use.
+    # Interface for handlers
 
     def send_whole(self, status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes) -> None:
-        """Send an answer whose body is known."""
+        """Send a complete response."""
         length = (b"content-length", str(len(body)).encode())
         self._send_head(status, [*headers, length], body)
 
     def begin_stream(
         self, status: int, headers: Iterable[tuple[bytes, bytes]], *, length: int | None
     ) -> None:
-        """Send the head of an answer whose body follows in pieces."""
+        """Send the head of a response whose body follows in pieces; chunked without `length`."""
         self._is_chunked = length is None
         framing = (
             (b"transfer-encoding", b"chunked")
@@ -203,7 +209,7 @@
         self._send_head(status, [*headers, framing], b"")
 
     async def send_piece(self, piece: bytes) -> None:
-        """Send a piece of a body, waiting while the caller reads slowly."""
+        """Send a piece of the body; wait while the write buffer is full."""
         if not piece or self._transport is None:
             return
         if self._is_chunked:
@@ -213,29 +219,29 @@
             await self._writable.wait()
 
     def end_stream(self) -> None:
-        """End a body sent in pieces."""
+        """Terminate a chunked body."""
         if self._is_chunked and self._transport is not None:
             self._transport.write(_LAST_CHUNK)
 
     def cut(self) -> None:
-        """Break the connection, so that an answer that has begun cannot look complete."""
+        """Abort the connection, so that a partial response cannot look complete."""
         self.keeps_alive = False
         if self._transport is not None:
             self._transport.abort()
 
     @property
     def has_begun(self) -> bool:
-        """Return whether the head of an answer to the request in hand was sent."""
+        """Return whether the response head for the current request was sent."""
         return self._head_sent
 
     def close_if_idle(self) -> None:
-        """Close a connection without a request in hand or on its way in."""
+        """Close the connection unless a request is in progress, queued or being received."""
         if self.is_busy or self._requests or self._is_reading_head or self._headers:
             return
         if self._transport is not None:
             self._transport.close()
 
-    # The task.
+    # Serving task
 
     async def _serve(self) -> None:
         while not self.is_gone:
@@ -246,7 +252,7 @@
             try:
                 await self._handler(self, request)
             except Exception as exc:
-                # The caller must not take silence, or half an answer, for more than it is.
+                # Abort, so that the caller sees an error instead of no response or a partial one.
                 _LOG.error("event=handler_failed", exc_info=exc)
                 self.cut()
             finally:
@@ -257,11 +263,11 @@
             self._transport.close()
 
     async def _next_request(self) -> CallerRequest | None:
-        """Wait for a whole request; a caller that is too slow is answered 408 or closed."""
+        """Wait for a complete request; return None after a time-out, with a 408 unless idle."""
         limits = self._read_limits()
         while not self._requests:
-            if self._refused_status:
-                self._answer_refused()
+            if self._error_status:
+                self._send_error()
                 return None
             is_idle = not self._is_reading_head and not self._headers
             timeout_s = limits.idle_timeout_s if is_idle else limits.header_timeout_s
@@ -272,7 +278,7 @@
             except TimeoutError:
                 if is_idle and not self._is_reading_head:
                     return None
-                self._refused_status = HTTPStatus.REQUEST_TIMEOUT
+                self._error_status = HTTPStatus.REQUEST_TIMEOUT
         request = self._requests.popleft()
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
@@ -282,24 +288,24 @@
         if self._transport is None:
             return
         self._head_sent = True
-        lines = [b"HTTP/1.1 %d %s" % (status, _PHRASES.get(status, "Unknown").encode())]
+        lines = [b"HTTP/1.1 %d %s" % (status, _REASON_PHRASES.get(status, "Unknown").encode())]
         lines += [k + b": " + v for k, v in headers]
         if not self.keeps_alive:
             lines.append(b"connection: close")
         self._transport.write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
 
     def _count_head(self, received_bytes: int) -> None:
-        """Bound a head that never ends; whole heads are measured when they are complete."""
+        """Limit a head that never ends; the exact size is checked once the head is complete."""
         if not self._is_reading_head:
             return
         self._head_bytes += received_bytes
         if self._head_bytes > 2 * self._read_limits().max_header_bytes:
-            self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+            self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
-    def _refuse(self, status: int) -> None:
-        self._refused_status = int(status)
+    def _reject(self, status: int) -> None:
+        self._error_status = int(status)
         self._arrived.set()
 
-    def _answer_refused(self) -> None:
+    def _send_error(self) -> None:
         self.keeps_alive = False
-        self.send_whole(self._refused_status, [], b"")
+        self.send_whole(self._error_status, [], b"")
--- a/dalehollow/aio/client.py
+++ b/dalehollow/aio/client.py
@@ -1,4 +1,4 @@
-"""Call HTTP servers and tell exactly how far a failed call had come."""
+"""Send HTTP/1.1 requests over asyncio and report exactly how far a failed request got."""
 
 from __future__ import annotations
 
@@ -16,33 +16,34 @@
 _NO_BODY_STATUSES = frozenset({204, 304})
 _FIRST_FINAL_STATUS = 200
 MAX_BUFFERED_BYTES = 256 * 1024
-"""Reading pauses above this: what a slow caller has not taken yet stays in the upstream."""
+"""Reading pauses above this size, so that a slow caller's data stays in the upstream."""
 PIECE_TIMEOUT_S = 0.5
-"""An answer that has begun is read for as long as its pieces come: what has come is never thrown
-away for its length. Twice the time after which a lost packet is sent again."""
+"""Maximum wait for the next piece of a response, twice the time after which a lost packet is
+retransmitted. Each piece extends the time-out, so that data already received is not discarded only
+because a response is long."""
 ANSWER_TIMEOUT_S = 3.0
-"""Bound of an answer that has begun: 1 MB, the largest value of the store, in 3 Mbit/s."""
+"""Maximum time to receive a body: enough for 1 MB, the largest store value, at 3 Mbit/s."""
 
 
 class ConnectError(ConnectionError):
-    """Report that no connection came up; no byte of a request was sent.
+    """Report that no connection was established; no byte of a request was sent.
 
-    `is_refused` says that the port was reached and nobody listens there.
+    `is_refused` is True if the host refused the connection because nothing listens on the port.
     """
 
     def __init__(self, message: str, *, is_refused: bool = False) -> None:
-        """Keep whether the port refused."""
+        """Store the message and whether the connection was refused."""
         super().__init__(message)
         self.is_refused = is_refused
 
 
 class CutError(ConnectionError):
-    """Report that a connection ended before the answer did."""
+    """Report a connection that closed or sent invalid HTTP before the response was complete."""
 
 
 @dataclass(frozen=True)
 class AnswerHead:
-    """Hold the head of an answer; header names are in lower case."""
+    """Hold the status and headers of a response; header names are in lower case."""
 
     status: int
     headers: Headers
@@ -53,10 +54,10 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """Carry one request at a time to one server."""
+    """Send requests to one server, one at a time."""
 
     def __init__(self) -> None:
-        """Begin unconnected; `connect` makes connections."""
+        """Create an unconnected protocol; use `connect` to open a connection."""
         self._parser: Any = httptools.HttpResponseParser(self)
         self._items: deque[AnswerHead | bytes | None] = deque()
         self._buffered_bytes = 0
@@ -69,25 +70,25 @@
         self._is_paused = False
         self.received_bytes = 0
 
-    # The connection, as asyncio reports it.
+    # asyncio.Protocol callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and set the socket options."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         tune_socket(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
+        """Feed the parser; abort the connection on invalid HTTP."""
         self.received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as exc:
-            self._fail(CutError(f"the server sent what is no answer: {exc}"))
+            self._fail(CutError(f"invalid HTTP response: {exc}"))
             self.abort()
 
     def eof_received(self) -> bool:
-        """End an answer that has no length; cut any other."""
+        """Complete a response that ends with the connection; any other one is truncated."""
         if self._ends_with_connection:
             self._finish()
         else:
@@ -95,17 +96,17 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the reader."""
-        self._fail(CutError(f"the connection was lost: {exc or 'closed'}"))
+        """Fail pending and later reads."""
+        self._fail(CutError(f"connection lost: {exc or 'closed'}"))
 
-    # The answer, as the parser reports it.
+    # httptools parser callbacks
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Append a header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Hand the head over; interim answers are dropped."""
+        """Queue the response head; discard interim (1xx) responses."""
         status = self._parser.get_status_code()
         headers, self._headers = tuple(self._headers), []
         self._is_interim = status < _FIRST_FINAL_STATUS
@@ -117,7 +118,7 @@
         self._put(AnswerHead(status, headers))
 
     def on_body(self, body: bytes) -> None:
-        """Hand a piece of the body over."""
+        """Queue a piece of the body; pause reading while too much is buffered."""
         self._buffered_bytes += len(body)
         if self._buffered_bytes > MAX_BUFFERED_BYTES and self._transport and not self._is_paused:
             self._is_paused = True
@@ -125,20 +126,20 @@
         self._put(body)
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer."""
+        """Queue the end of the response, unless it is an interim one."""
         if not self._is_interim:
             self._finish()
 
-    # What callers of this class use.
+    # Interface for requests
 
     def send(self, parts: Iterable[bytes]) -> None:
-        """Send a whole request."""
+        """Send a complete request; raise CutError if the connection is closed."""
         if self._transport is None or self._transport.is_closing():
             raise CutError("the connection is closed")
         self._transport.write(b"".join(parts))
 
     async def read_head(self) -> AnswerHead:
-        """Return the head of the next answer, skipping the rest of an earlier one."""
+        """Return the head of the next response, skipping the rest of an earlier one."""
         while True:
             item = await self._next()
             if isinstance(item, AnswerHead):
@@ -148,30 +149,30 @@
         """Return the next piece of the body, or None at its end."""
         item = await self._next()
         if isinstance(item, AnswerHead):
-            raise CutError("another answer began inside this one")
+            raise CutError("a new response began before the end of this one")
         return item
 
     async def read_body(self) -> bytes:
-        """Return what is left of the body."""
+        """Return the rest of the body."""
         pieces = []
         while (piece := await self.read_piece()) is not None:
             pieces.append(piece)
         return b"".join(pieces)
 
     async def read_body_while_it_comes(self, limit: asyncio.Timeout) -> bytes:
-        """Return the body, moving the time limit in force on with each piece, up to a bound."""
+        """Return the body; each piece extends `limit` until ANSWER_TIMEOUT_S have passed."""
         clock = asyncio.get_running_loop().time
-        last_s = clock() + ANSWER_TIMEOUT_S
+        deadline_s = clock() + ANSWER_TIMEOUT_S
         pieces: list[bytes] = []
         while True:
-            limit.reschedule(min(clock() + PIECE_TIMEOUT_S, last_s))
+            limit.reschedule(min(clock() + PIECE_TIMEOUT_S, deadline_s))
             piece = await self.read_piece()
             if piece is None:
                 return b"".join(pieces)
             pieces.append(piece)
 
     def abort(self) -> None:
-        """Drop the connection at once, which cancels the request at the server."""
+        """Abort the connection, which cancels the request at the server."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -212,13 +213,13 @@
 
 
 async def connect(address: str, timeout_s: float) -> ClientConnection:
-    """Open a connection; raise ConnectError if none comes up in time."""
+    """Open a connection to host:port; raise ConnectError if it fails or times out."""
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout_s):
             _, connection = await loop.create_connection(ClientConnection, host, int(port))
     except (OSError, TimeoutError) as exc:
-        message = f"no connection to {address}: {exc or 'timed out'}"
+        message = f"cannot connect to {address}: {exc or 'timed out'}"
         raise ConnectError(message, is_refused=isinstance(exc, ConnectionRefusedError)) from exc
     return connection
--- a/dalehollow/aio/headers.py
+++ b/dalehollow/aio/headers.py
@@ -1,13 +1,13 @@
-"""Hold the headers of a message, in the order in which they came."""
+"""Define the headers of a message, in the order in which they were received."""
 
 from __future__ import annotations
 
 Headers = tuple[tuple[bytes, bytes], ...]
-"""Names in lower case, and values."""
+"""Pairs of a name in lower case and a value."""
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a header."""
+    """Return the first value of a header, or None."""
     for key, value in headers:
         if key == name:
             return value
--- a/dalehollow/aio/sockets.py
+++ b/dalehollow/aio/sockets.py
@@ -1,4 +1,4 @@
-"""Set the options that make a silent peer show as a broken connection."""
+"""Set the socket options that turn an unresponsive peer into a connection error."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 import socket
 
 UNACKNOWLEDGED_TIMEOUT_MS = 3_000
-"""Bytes unacknowledged for so long break a connection: above three retransmissions at the round
-trip between halls, below the shortest pause after which callers give a stream up."""
+"""Time after which unacknowledged bytes break a connection. Longer than three retransmissions at
+the round-trip time between halls, shorter than the shortest pause after which callers abandon a
+stream."""
 
 
 def tune_socket(transport: asyncio.BaseTransport) -> None:
-    """Send small writes at once and bound how long sent bytes may stay unacknowledged."""
+    """Disable Nagle's algorithm and bound how long sent bytes may stay unacknowledged."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
