--- a/dalehollow/telemetry/__init__.py
+++ b/dalehollow/telemetry/__init__.py
@@ -1,3 +1,3 @@
-"""Write logs and metrics; nothing is imported here, so that logs alone start fast."""
+"""Provide logs, metrics and traces; import none of them here, so that logs alone load fast."""
 
 from __future__ import annotations
--- a/dalehollow/telemetry/metrics.py
+++ b/dalehollow/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Count events and record durations, and print them in the usual text exposition format."""
+"""Collect counters, gauges and durations, and print them in the Prometheus format."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 _LOWEST_US = 1
 _HIGHEST_US = 3_600_000_000
-_DIGITS = 2
+_SIGNIFICANT_DIGITS = 2
 _PERCENTILES = (50.0, 95.0, 99.0)
 _US_PER_MS = 1000
 
@@ -20,14 +20,14 @@
     """Hold the counters and histograms of one process."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty set of metrics."""
         self._counts: dict[tuple[str, Labels], int] = {}
         self._histograms: dict[tuple[str, Labels], HdrHistogram] = {}
         self._gauges: dict[str, Callable[[], float]] = {}
         self._lock = threading.Lock()
 
     def count(self, name: str, /, amount: int = 1, **labels: str) -> None:
-        """Add to a counter."""
+        """Increment a counter."""
         key = (name, tuple(sorted(labels.items())))
         with self._lock:
             self._counts[key] = self._counts.get(key, 0) + amount
@@ -38,21 +38,21 @@
         with self._lock:
             histogram = self._histograms.get(key)
             if histogram is None:
-                histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+                histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS)
                 self._histograms[key] = histogram
             histogram.record_value(max(_LOWEST_US, round(value_ms * _US_PER_MS)))
 
     def watch_gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Print what `read` returns under this name."""
+        """Register a gauge, whose value `read` returns."""
         self._gauges[name] = read
 
     def counts(self) -> dict[str, int]:
-        """Return the counters by printed name."""
+        """Return the counters by name and labels."""
         with self._lock:
             return {name + _format_labels(labels): n for (name, labels), n in self._counts.items()}
 
     def expose(self) -> str:
-        """Return all metrics as text."""
+        """Return all metrics in the text format."""
         with self._lock:
             return "\n".join([*self._expose_counts(), *self._expose_times()]) + "\n"
 
