--- a/dalehollow/__init__.py
+++ b/dalehollow/__init__.py
@@ -1,4 +1,4 @@
-"""Balance load over expert-parallel model groups and the plain services beside them."""
+"""Balance load across expert-parallel model groups and plain services."""
 
 from __future__ import annotations
 
--- a/dalehollow/cli.py
+++ b/dalehollow/cli.py
@@ -1,4 +1,4 @@
-"""Offer each role and each operator's task as a command."""
+"""Implement the command line: run a process, and operate a deployment."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 _DUMP_TIMEOUT_MS = 2_000
 _HTTP = "http://"
 _STACK_BYTES = 256 * 1024
-# With 200 streams the default of 5 ms adds up to gaps between tokens (python -m benchmarks relay).
+# With 200 streams, the default of 5 ms causes gaps between tokens (python -m benchmarks relay).
 SWITCH_INTERVAL_S = 0.001
 
 
@@ -49,7 +49,7 @@
 
 
 def run(settings: str) -> None:
-    """Run the process that a settings file describes, until SIGTERM or SIGINT."""
+    """Run the process described by a settings file until SIGTERM or SIGINT."""
     if _is_gateway(settings):
         from dalehollow.gateway.__main__ import run_gateway
 
@@ -68,15 +68,15 @@
         f"event=ready http={process.server.address} control={process.control.address}", flush=True
     )
     stopping.wait()
-    cut_off = process.stop()
+    unfinished_count = process.stop()
     sys.stdout.flush()
     sys.stderr.flush()
-    # Threads of broken connections must not hold the exit up.
-    os._exit(EXIT_FAILED if cut_off else 0)
+    # Skip the interpreter shutdown: threads of broken connections would delay it.
+    os._exit(EXIT_FAILED if unfinished_count else 0)
 
 
 def check(file: str, json: bool = False) -> None:
-    """Check an operators' file and print every mistake in it."""
+    """Check a configuration file and print every error in it."""
     checked = check_text(_read_file(file))
     if isinstance(checked, Err):
         mistakes = checked.err_value
@@ -95,9 +95,9 @@
 
 
 def apply(file: str, platform: str, parent: int | None = None, json: bool = False) -> None:
-    """Apply a whole operators' file, or nothing of it.
+    """Apply a configuration file atomically.
 
-    With --parent, only if that version is still in force.
+    With --parent, apply it only if that version is still in force.
     """
     apply_id = uuid.uuid4().hex
     applied = apply_text(HttpKeyValue(platform), _read_file(file), apply_id=apply_id, parent=parent)
@@ -110,13 +110,13 @@
 
 
 def show(platform: str) -> None:
-    """Print the configuration that the platform holds."""
+    """Print the configuration stored in the platform."""
     kv = HttpKeyValue(platform)
     manifest = read_manifest(kv)
     if isinstance(manifest, Err):
         _fail(str(manifest.err_value))
     if not manifest.ok_value.version:
-        _fail("no configuration was ever applied")
+        _fail("no configuration has been applied yet")
     text = kv.get(part_key(manifest.ok_value.source))
     if isinstance(text, Err):
         _fail(str(text.err_value))
@@ -125,7 +125,7 @@
 
 
 def diff(file: str, platform: str, json: bool = False) -> None:
-    """Print what a file would change of the configuration in force, name by name."""
+    """Print the names that a file would add, change or remove in the configuration in force."""
     checked = check_text(_read_file(file))
     if isinstance(checked, Err):
         _fail(_describe_apply_error(checked.err_value))
@@ -138,7 +138,7 @@
 
 
 def history(platform: str, json: bool = False) -> None:
-    """Print the versions that were in force last, the newest first."""
+    """Print the most recent versions of the configuration, newest first."""
     manifest = read_manifest(HttpKeyValue(platform))
     if isinstance(manifest, Err):
         _fail(str(manifest.err_value))
@@ -147,9 +147,10 @@
 
 
 def dump(address: str, section: str = "") -> None:
-    """Print the state of the process at a control address; --section recent adds decisions.
+    """Print the state of the process at a control address.
 
-    A gateway tells its state on its metrics address: give it as http://ADDRESS.
+    --section recent adds its latest decisions. A gateway serves its state on its metrics address,
+    given as http://ADDRESS.
     """
     if address.startswith(_HTTP):
         print(_fetch_over_http(address.removeprefix(_HTTP), "/dump"))
@@ -158,7 +159,7 @@
 
 
 def status(*addresses: str, json: bool = False) -> None:
-    """Print the configuration version in force in each process, by control address."""
+    """Print the configuration version in force in the process at each control address."""
     rows = []
     for address in addresses:
         state = _fetch_dump(address, "", may_fail=True)
@@ -177,15 +178,15 @@
 
 
 def explain(request_id: str, *sources: str, address: str = "") -> None:
-    """Tell how a request ended: from log files of several processes, or an entry's memory.
+    """Explain how a request ended, from log files of several processes or an entry's memory.
 
-    Log files are given as arguments; --address asks the entry at a control address.
+    Log files are given as arguments; with --address, the entry at that control address is queried.
     """
     if sources:
         _explain_from_logs(request_id, sources)
         return
     if not address:
-        raise SettingsError("explain needs log files, or --address of an entry")
+        raise SettingsError("explain needs log files or the --address of an entry")
     state = _fetch_dump(address, "recent")
     found = [d for d in state["recent"] if d["request_id"] == request_id]
     if not found:
@@ -205,7 +206,7 @@
 
 
 def check_settings(settings: str) -> None:
-    """Check a settings file and print every value that is in force."""
+    """Check a settings file and print all values, including defaults."""
     loaded = read_gateway_settings(settings) if _is_gateway(settings) else _load_settings(settings)
     print(json_codec.dumps(dataclasses.asdict(loaded), indent=2))
 
@@ -225,7 +226,7 @@
 
 
 def main() -> None:
-    """Run one command; a user's mistake ends in one line and exit code 2."""
+    """Run one command; report usage errors in one line, with exit code 2."""
     try:
         fire.Fire(COMMANDS, name="dalehollow")
     except SettingsError as exc:
@@ -234,7 +235,7 @@
 
 
 def _make_process(cfg: Settings) -> Any:
-    # Imported here so that operators' commands start fast.
+    # Imported lazily, so that the other commands start fast.
     if cfg.role == ROLES[0]:
         from dalehollow.entry import EntryProcess
 
@@ -245,7 +246,7 @@
 
 
 def _is_gateway(path: str) -> bool:
-    """Return whether a settings file is a gateway's; a file that cannot be read is judged later."""
+    """Return whether a settings file is for a gateway; if invalid, loading it reports why."""
     try:
         raw, _ = parse_jsonc(Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, JsoncError):
@@ -291,11 +292,11 @@
         winner = error.winner
         applied_at = time.strftime("%H:%M:%S", time.gmtime(winner.applied_at_ms / 1000))
         return (
-            f"version {winner.version} (apply {winner.apply_id}, {applied_at} UTC) came first; "
-            "nothing of this file is in force"
+            f"version {winner.version} (apply {winner.apply_id}, {applied_at} UTC) "
+            "was applied first; nothing of this file is in force"
         )
     if isinstance(error, PlatformError):
-        return f"the platform failed: {error}"
+        return f"the call to the platform failed: {error}"
     return "\n".join(str(mistake) for mistake in error)
 
 
--- a/dalehollow/clock.py
+++ b/dalehollow/clock.py
@@ -1,7 +1,7 @@
-"""Read the one clock of the product, which goes on while the VM is suspended.
+"""Read the clock used for all intervals, which continues while the VM is suspended.
 
-The steady clock of the system does not count a suspension: a lease would seem to hold, and old
-knowledge to be fresh, though others have gone on for seconds.
+The monotonic clock of the system stops during a suspension: after one, leases would seem valid and
+outdated state fresh, although seconds have passed for all other processes.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 def read_clock() -> float:
-    """Return seconds that never go back, from a moment of no meaning."""
+    """Return monotonic seconds from an arbitrary origin, including time spent suspended."""
     return time.clock_gettime(_CLOCK)
 
 
 class ClockLoop(asyncio.SelectorEventLoop):
-    """Run an event loop by the product's clock: what fell due in a suspension is due at its end."""
+    """Schedule by `read_clock`: timers that expire during a suspension fire at its end."""
 
     def time(self) -> float:
-        """Return the time by which everything in the loop is scheduled."""
+        """Return the time that callbacks are scheduled by."""
         return read_clock()
--- a/dalehollow/errors.py
+++ b/dalehollow/errors.py
@@ -1,4 +1,4 @@
-"""Hold the failures that reach callers and the exceptions raised inside."""
+"""Define the failures returned to callers and the exceptions raised internally."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Name why a request was refused or failed; each maps to one HTTP status."""
+    """List the reasons why a request is refused or fails; each has one HTTP status."""
 
     BAD_REQUEST = "bad_request"
     BAD_KEY = "bad_key"
@@ -65,9 +65,9 @@
 
 @dataclass(frozen=True)
 class Failure:
-    """Describe one refusal or failure as the caller sees it.
+    """Describe why a request was refused or failed, as reported to the caller.
 
-    `rest_ms` is for how long the upstream takes no request as urgent as this one or less.
+    `rest_ms` is the time for which the upstream accepts no request of this priority or a lower one.
     """
 
     reason: Reason
@@ -79,18 +79,18 @@
 
     @property
     def status(self) -> int:
-        """Return the HTTP status of the reason."""
+        """Return the HTTP status for the reason."""
         return HTTP_STATUS[self.reason]
 
 
 class SettingsError(ValueError):
-    """Report settings that cannot be used, with the bad value and the choices."""
+    """Report invalid settings or arguments, with the invalid value and the choices."""
 
 
 class PlatformError(ConnectionError):
-    """Report a platform call that failed; `may_have_written` tells if a write may be in effect."""
+    """Report a failed platform call; `may_have_written` is True if a write may have succeeded."""
 
     def __init__(self, message: str, *, may_have_written: bool) -> None:
-        """Keep whether the write may be in effect."""
+        """Store the message and whether a write may have succeeded."""
         super().__init__(message)
         self.may_have_written = may_have_written
--- a/dalehollow/jsonc.py
+++ b/dalehollow/jsonc.py
@@ -1,4 +1,4 @@
-"""Read JSON with comments, and find the line of each value for messages that point at it."""
+"""Parse JSON with comments and locate the line of each value for error messages."""
 
 from __future__ import annotations
 
@@ -21,24 +21,27 @@
 
 
 class JsoncError(ValueError):
-    """Report text that is not JSON with comments, with the line where it fails."""
+    """Report invalid JSON with comments and the line of the error, counted from 1."""
 
     def __init__(self, line: int, message: str) -> None:
-        """Keep the line."""
+        """Store the message and the line."""
         super().__init__(message)
         self.line = line
 
 
 @dataclass
 class Lines:
-    """Map each value's path, such as `services.gate.upstreams[0]`, to its line."""
+    """Map the path of each value, such as `services.gate.upstreams[0]`, to its line.
+
+    `repeated` holds the path and line of each key that occurs again in the same object.
+    """
 
     of: dict[str, int] = field(default_factory=lambda: {"": 1})
     repeated: list[tuple[str, int]] = field(default_factory=list)
 
 
 def parse_jsonc(text: str) -> tuple[Any, Lines]:
-    """Parse a whole text; raise JsoncError for what is no JSON or gives a key twice."""
+    """Parse a text; raise JsoncError if it is invalid or an object has a duplicate key."""
     try:
         value = pyjson5.decode(text)
     except pyjson5.Json5DecoderException as exc:
@@ -57,7 +60,7 @@
 
 
 def find_lines(text: str) -> Lines:
-    """Find the lines of all values in a sound text."""
+    """Locate the lines of all values and duplicate keys in a valid text."""
     found = Lines()
     lines = found.of
     stack: list[str | int] = []
--- a/dalehollow/settings.py
+++ b/dalehollow/settings.py
@@ -1,4 +1,4 @@
-"""Read and check one process's settings, written in JSON with comments."""
+"""Read and validate the settings of an entry or sidecar, written in JSON with comments."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """Hold one process's settings; addresses are an IP number and a port, port 0 picks one."""
+    """Hold the settings of one process; addresses are IPv4:port, and port 0 selects a free one."""
 
     role: str
     name: str
@@ -52,12 +52,12 @@
 
 
 def read_settings(path: str) -> Settings:
-    """Read a settings file; raise SettingsError with every mistake in it."""
+    """Read a settings file; raise SettingsError with every error in it."""
     return parse_settings(read_settings_text(path))
 
 
 def parse_settings(text: str) -> Settings:
-    """Check settings given as text; raise SettingsError with every mistake in it."""
+    """Parse and validate settings; raise SettingsError with every error in them."""
     raw = parse_settings_text(text, _find_mistakes)
     values: dict[str, Any] = {k: tuple(v) if isinstance(v, list) else v for k, v in raw.items()}
     return Settings(**values)
@@ -83,8 +83,8 @@
     if choices is not None:
         return check_choice(name, value, choices)
     if kind == "int":
-        whole = isinstance(value, int) and not isinstance(value, bool) and value >= 0
-        return [] if whole else [f"{name!r} is {value!r}, must be a whole number from 0"]
+        is_valid = isinstance(value, int) and not isinstance(value, bool) and value >= 0
+        return [] if is_valid else [f"{name!r} is {value!r}, must be a whole number from 0"]
     if name == "peers":
         is_list = isinstance(value, list) and all(is_address(v) for v in value)
         return [] if is_list else [f"{name!r} is {value!r}, must be a list of addresses"]
@@ -94,6 +94,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split host:port."""
+    """Split host:port into the host and the port number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/dalehollow/settings_text.py
+++ b/dalehollow/settings_text.py
@@ -1,4 +1,4 @@
-"""Read settings written in JSON with comments, and check values that all kinds of them share."""
+"""Read settings in JSON with comments and validate the types of value that all roles use."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 _ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}")
 
-Find = Callable[[Mapping[str, Any]], list[str]]
+FindMistakes = Callable[[Mapping[str, Any]], list[str]]
 
 
 def read_settings_text(path: str) -> str:
-    """Return the text of a settings file; raise SettingsError if it cannot be read."""
+    """Return the content of a settings file; raise SettingsError if it cannot be read."""
     try:
         return Path(path).read_text(encoding="utf-8")
     except OSError as exc:
         raise SettingsError(f"settings file {path!r} cannot be read: {exc.strerror}") from exc
 
 
-def parse_settings_text(text: str, find_mistakes: Find) -> dict[str, Any]:
-    """Return the fields of settings; raise SettingsError with every mistake that was found."""
+def parse_settings_text(text: str, find_mistakes: FindMistakes) -> dict[str, Any]:
+    """Parse settings; raise SettingsError with every error that `find_mistakes` returns."""
     try:
         raw, _ = parse_jsonc(text)
     except JsoncError as exc:
@@ -39,15 +39,15 @@
 
 
 def check_choice(name: str, value: Any, choices: tuple[str, ...]) -> list[str]:
-    """Return the mistake of a value that is none of the choices."""
+    """Return an error message if a value is not one of the choices."""
     return [] if value in choices else [f"{name!r} is {value!r}, choices: {', '.join(choices)}"]
 
 
 def check_address(name: str, value: Any) -> list[str]:
-    """Return the mistake of a value that is no IP number and port."""
+    """Return an error message if a value is not an IPv4 address and port."""
     return [] if is_address(value) else [f"{name!r} is {value!r}, must be like 127.0.0.1:80"]
 
 
 def is_address(value: Any) -> bool:
-    """Return whether a value is an IP number and a port."""
+    """Return whether a value is an IPv4 address and port."""
     return isinstance(value, str) and _ADDRESS.fullmatch(value) is not None
--- a/dalehollow/verdict.py
+++ b/dalehollow/verdict.py
@@ -1,6 +1,6 @@
-"""Say whether a failed request may have run, and whether it may be tried again.
+"""Decide whether a failed request may have run and whether it may be retried.
 
-The table is the same as the page docs/VERDICTS.md; a test holds the two together.
+The rules are those of the table in docs/VERDICTS.md; keep the two consistent.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """Tell whether a request ran at an upstream."""
+    """State whether an upstream executed a request."""
 
     NOT_RUN = "NOT_RUN"
     MAY_HAVE_RUN = "MAY_HAVE_RUN"
@@ -18,7 +18,7 @@
 
 
 class Step(enum.StrEnum):
-    """Name the steps of a request at which it can fail, in their order."""
+    """List the steps of a request at which it can fail, in their order."""
 
     ADMIT = "admit"
     CHOOSE = "choose"
@@ -32,29 +32,29 @@
 
 
 @dataclass(frozen=True)
-class Ruling:
-    """Hold the verdict on a failure and whether the system may try again by itself."""
+class FailureAssessment:
+    """Hold the verdict on a failure and whether the system may retry the request."""
 
     verdict: Verdict
     may_retry: bool
 
 
-# A step is "clean" while no byte of the request has left for the process that could run it.
-_CLEAN_STEPS = frozenset(
+# Failures before any byte of the request was sent to the process that could execute it.
+_NOT_RUN_STEPS = frozenset(
     {Step.ADMIT, Step.CHOOSE, Step.CONNECT_SIDECAR, Step.QUEUE, Step.CONNECT_UPSTREAM}
 )
-# A failure at these is this system's own decision about one caller; another try changes nothing.
-_FINAL_STEPS = frozenset({Step.ADMIT, Step.CHOOSE})
+# Failures that are this system's own decision about one caller; a retry would not change it.
+_NO_RETRY_STEPS = frozenset({Step.ADMIT, Step.CHOOSE})
 
 
-def judge_failure(step: Step, *, repeatable: bool, answer_begun: bool = False) -> Ruling:
-    """Judge a failure by the step it happened at.
+def judge_failure(step: Step, *, repeatable: bool, answer_begun: bool = False) -> FailureAssessment:
+    """Decide on a failure by the step at which it occurred.
 
-    Args: `repeatable` is the operation's mark in the configuration; `answer_begun` says that a
-    byte of an answer has gone to the caller, after which no other try may speak to it.
+    `repeatable` is the operation's setting in the configuration. `answer_begun` is True if a byte
+    of the response has been sent to the caller, after which no retry may send it another one.
     """
     if step is Step.RELAY_ANSWER or answer_begun:
-        return Ruling(Verdict.RAN, may_retry=repeatable and not answer_begun)
-    if step in _CLEAN_STEPS:
-        return Ruling(Verdict.NOT_RUN, may_retry=step not in _FINAL_STEPS)
-    return Ruling(Verdict.MAY_HAVE_RUN, may_retry=repeatable)
+        return FailureAssessment(Verdict.RAN, may_retry=repeatable and not answer_begun)
+    if step in _NOT_RUN_STEPS:
+        return FailureAssessment(Verdict.NOT_RUN, may_retry=step not in _NO_RETRY_STEPS)
+    return FailureAssessment(Verdict.MAY_HAVE_RUN, may_retry=repeatable)
