--- a/dalehollow/verdict.py
+++ b/dalehollow/verdict.py
@@ -1,6 +1,6 @@
 """Decide whether a failed request may have run and whether it may be retried.
 
-The rules are those of the table in docs/VERDICTS.md; keep the two consistent.
+docs/VERDICTS.md has the same table; tests/test_verdict.py checks this module against a copy of it.
 """
 
 from __future__ import annotations
--- a/tests/manual_clock.py
+++ b/tests/manual_clock.py
@@ -1,4 +1,4 @@
-"""Stand in for a steady clock that goes only where a test sets it."""
+"""Provide a clock that only advances when a test sets it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass
 class ManualClock:
-    """Hold the time; call it to read it."""
+    """Return `now_s` when called, like the clock functions that it replaces."""
 
     now_s: float = 100.0
 
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""Relay TCP between two processes, and hold, cut or refuse on command."""
+"""Provide a TCP proxy that can delay, cut and refuse connections on command."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class Relay:
-    """Pass bytes on to a target; `mode` is checked for each piece of data."""
+    """Forward bytes to a target; `mode` applies to each chunk of data received.
+
+    `reached` is set when a chunk is held back.
+    """
 
     def __init__(self, target: str) -> None:
         self.target = target
@@ -29,25 +32,25 @@
         return listener
 
     def set_mode(self, mode: str) -> None:
-        """Set `pass`, `refuse`, `hold_request`, `hold_answer` or `hold_half_answer`."""
+        """Set the mode: pass, refuse, hold_request, hold_answer or hold_half_answer."""
         self.reached.clear()
         self._release.clear()
         self._drop_held = False
         self.mode = mode
         if mode == "refuse":
-            # A closed port: no connection comes about, so nothing can have been sent.
+            # With the port closed, no connection is established and nothing can have been sent.
             self._stop_listening()
             self.cut()
 
     def release(self) -> None:
-        """Pass on what is held and return to passing."""
+        """Forward the data held back and return to mode pass."""
         if self.mode == "refuse":
             self._listener = self._listen(int(self.address.rpartition(":")[2]))
         self.mode = "pass"
         self._release.set()
 
     def drop(self) -> None:
-        """Cut what is held and return to passing."""
+        """Discard the data held back, cut all connections and return to mode pass."""
         self._drop_held = True
         self.release()
         self.cut()
@@ -93,7 +96,7 @@
     def _pump(self, source: socket.socket, sink: socket.socket, direction: str) -> None:
         try:
             while data := source.recv(CHUNK_BYTES):
-                data = self._hold(data, sink, direction)
+                data = self._hold_back(data, sink, direction)
                 if self._drop_held and not data:
                     break
                 sink.sendall(data)
@@ -102,7 +105,7 @@
         with contextlib.suppress(OSError):
             sink.shutdown(socket.SHUT_WR)
 
-    def _hold(self, data: bytes, sink: socket.socket, direction: str) -> bytes:
+    def _hold_back(self, data: bytes, sink: socket.socket, direction: str) -> bytes:
         mode = self.mode
         if mode == "hold_half_answer" and direction == "answer":
             half = max(1, len(data) // 2)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Test the commands as an operator uses them, against a platform stand-in and real processes."""
+"""Test the command line against a stand-in for the platform and against real processes."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 
 
 @pytest.mark.parametrize("name", ["kelanisoft", "truco"])
-def test_examples_are_sound(name: str) -> None:
-    done = run("check", str(EXAMPLES / f"{name}.json5"))
-    assert done.returncode == 0, done.stdout
-    assert "halls=3 client_accounts=10 upstreams=19 services=2 groups=1" in done.stdout
+def test_examples_are_valid(name: str) -> None:
+    finished = run("check", str(EXAMPLES / f"{name}.json5"))
+    assert finished.returncode == 0, finished.stdout
+    assert "halls=3 client_accounts=10 upstreams=19 services=2 groups=1" in finished.stdout
 
 
-def test_check_prints_every_mistake(tmp_path: Path) -> None:
+def test_check_prints_every_error(tmp_path: Path) -> None:
     path = tmp_path / "bad.json5"
     path.write_text(make_text(deployment="NO", groups={"g": {"ranks": [], "policy": "wild"}}))
-    done = run("check", str(path))
-    assert done.returncode == 1
-    assert len(done.stdout.splitlines()) == 3
-    assert "Traceback" not in done.stderr
+    finished = run("check", str(path))
+    assert finished.returncode == 1
+    assert len(finished.stdout.splitlines()) == 3
+    assert "Traceback" not in finished.stderr
 
 
 def test_apply_show_and_conflict(platform: Platform, tmp_path: Path) -> None:
@@ -48,9 +48,12 @@
     path.write_text("// as it was written\n" + make_text())
     assert "version=1 parent=0" in run("apply", str(path), f"--platform={address}").stdout
     assert "// as it was written" in run("show", f"--platform={address}").stdout
-    loser = run("apply", str(path), f"--platform={address}", "--parent=0")
-    assert loser.returncode == 1
-    assert "version 1" in loser.stderr and "nothing of this file is in force" in loser.stderr
+    conflicting = run("apply", str(path), f"--platform={address}", "--parent=0")
+    assert conflicting.returncode == 1
+    assert (
+        "version 1" in conflicting.stderr
+        and "nothing of this file is in force" in conflicting.stderr
+    )
 
 
 def test_diff_and_history(platform: Platform, tmp_path: Path) -> None:
@@ -67,8 +70,8 @@
     raw["upstreams"]["m-1"]["slots"] = 4
     raw["groups"] = {}
     path.write_text(json.dumps(raw))
-    done = run("diff", str(path), f"--platform={address}")
-    assert done.stdout.splitlines() == ["changed upstreams.m-1", "removed groups.wide"]
+    finished = run("diff", str(path), f"--platform={address}")
+    assert finished.stdout.splitlines() == ["changed upstreams.m-1", "removed groups.wide"]
     run("apply", str(path), f"--platform={address}")
     rows = json.loads(run("history", f"--platform={address}", "--json").stdout)
     assert [row["version"] for row in rows] == [2, 1]
@@ -83,18 +86,18 @@
         (["dump", "127.0.0.1:1"], 1, "did not answer"),
     ],
 )
-def test_mistakes_end_in_one_line(args: list[str], code: int, message: str) -> None:
-    done = run(*args)
-    assert done.returncode == code
-    assert message in done.stderr
-    assert "Traceback" not in done.stderr
+def test_errors_print_no_traceback(args: list[str], code: int, message: str) -> None:
+    finished = run(*args)
+    assert finished.returncode == code
+    assert message in finished.stderr
+    assert "Traceback" not in finished.stderr
 
 
 def test_status_and_dump(hall: Hall) -> None:
     addresses = [p.control for p in [*hall.entries, *hall.sidecars.values()]]
-    done = run("status", *addresses, "--json")
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert {row["config_version"] for row in json.loads(done.stdout)} == {1}
+    finished = run("status", *addresses, "--json")
+    assert finished.returncode == 0, finished.stdout + finished.stderr
+    assert {row["config_version"] for row in json.loads(finished.stdout)} == {1}
     state = json.loads(run("dump", hall.entries[0].control).stdout)
     assert state["role"] == "entry" and state["upstreams"]
     state = json.loads(run("dump", hall.sidecars["gate-1"].control).stdout)
@@ -117,7 +120,7 @@
         ({"log_level": "loud"}, "choices: debug, info"),
     ],
 )
-def test_settings_mistakes(change: dict[str, object], message: str) -> None:
+def test_invalid_settings(change: dict[str, object], message: str) -> None:
     with pytest.raises(SettingsError, match=message.replace("[", r"\[")):
         parse_settings(json.dumps({**SETTINGS, **change}))
 
--- a/tests/test_jsonc.py
+++ b/tests/test_jsonc.py
@@ -1,4 +1,4 @@
-"""Test reading JSON with comments and finding lines."""
+"""Test parsing JSON with comments and locating lines."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
         ("{}\n\nx", 1, "Extra data"),
     ],
 )
-def test_mistake(text: str, line: int, message: str) -> None:
+def test_invalid_text(text: str, line: int, message: str) -> None:
     with pytest.raises(JsoncError, match=message) as caught:
         parse_jsonc(text)
     assert caught.value.line == line
 
 
-def test_same_key_in_different_places_is_no_repeat() -> None:
+def test_same_key_in_different_objects_is_not_repeated() -> None:
     assert not find_lines("{a: {x: 1}, b: {x: 1}, c: [{x: 1}, {x: 1}]}").repeated
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Check that log lines are bounded, never wait for a reader, and can be joined to a trace."""
+"""Test that log lines are rate-limited, never block, and can be combined into a trace."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return os.pipe()
 
 
-def test_a_full_pipe_does_not_hold_the_process_up(pipe: tuple[int, int]) -> None:
+def test_full_pipe_does_not_block(pipe: tuple[int, int]) -> None:
     reader, writer_fd = pipe
     writer = LineWriter("gw", writer_fd, lines_per_s=1e9)
     for _ in range(5000):
@@ -43,7 +43,7 @@
     assert any(f"event=log_lines_left_out count={left_out}" in line for line in lines)
 
 
-def test_volume_is_bounded_and_warnings_keep_room(
+def test_lines_are_limited_and_warnings_have_their_own_limit(
     pipe: tuple[int, int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     reader, writer_fd = pipe
@@ -58,13 +58,13 @@
     assert any("event=log_lines_left_out count=80" in line for line in lines)
 
 
-def test_a_reader_that_is_gone_is_no_failure(pipe: tuple[int, int]) -> None:
+def test_closed_reader_is_ignored(pipe: tuple[int, int]) -> None:
     reader, writer_fd = pipe
     os.close(reader)
     LineWriter("gw", writer_fd, lines_per_s=10).emit(_record("event=unread"))
 
 
-def test_values_are_quoted_so_that_lines_can_be_read_back(pipe: tuple[int, int]) -> None:
+def test_quoted_values_can_be_parsed(pipe: tuple[int, int]) -> None:
     reader, writer_fd = pipe
     logger = logging.Logger("test")
     logger.addHandler(LineWriter("gw", writer_fd, lines_per_s=10))
@@ -86,12 +86,12 @@
 ]
 
 
-def test_lines_of_several_processes_become_a_story() -> None:
+def test_trace_combines_lines_of_several_processes() -> None:
     trace = collect_trace("r1", LINES)
     assert [line.pairs["process"] for line in trace] == ["gw-1", "gw-2"]
     assert "status 503" in explain_end(trace)
     assert "expected wait was too long" in explain_end(trace)
 
 
-def test_a_request_without_lines_is_said_so() -> None:
+def test_trace_without_lines_is_explained() -> None:
     assert "no line" in explain_end(collect_trace("r9", LINES))
--- a/tests/test_own_answer.py
+++ b/tests/test_own_answer.py
@@ -1,7 +1,7 @@
-"""Test that thousands of interleaved callers each get their own whole answer, or none.
+"""Test that thousands of interleaved requests each get their own complete response or none.
 
-The judge is a naive relay that opens one connection for each request: what it would pass on is
-the request's own answer or a cut one, and so must be what the system passes on.
+The reference is a naive proxy with one connection per request: it would return the request's own
+response or a truncated one, so the system must return the same.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 from dalehollow.web import HttpClient, HttpServer
 from standins.hall import digest_key
 from standins.keyvalue import KeyValueStandIn
-from tests.nasty_upstream import CLEAN_MODES, MODES, NastyUpstream, make_answer
+from tests.nasty_upstream import COMPLETE_MODES, RESPONSE_MODES, MisbehavingUpstream, make_response
 from tests.payment_bench import wait_for
 
-REQUESTS = 2_000
-BATCH = 200
-CALLERS = 16
-FAST = {"leave_ms": 0, "poll_min_ms": 50, "poll_max_ms": 100, "beat_interval_ms": 100}
+REQUEST_COUNT = 2_000
+BATCH_SIZE = 200
+CALLER_COUNT = 16
+FAST_SETTINGS = {"leave_ms": 0, "poll_min_ms": 50, "poll_max_ms": 100, "beat_interval_ms": 100}
 
 
-class Path:
-    """Hold an entry, a sidecar and an upstream that answers in nasty ways."""
+class ProxyChain:
+    """Run an entry, a sidecar and an upstream that sends malformed or unexpected responses."""
 
     def __init__(self) -> None:
         self.platform = HttpServer("127.0.0.1", 0, KeyValueStandIn().handle, name="platform")
         self.platform.start()
-        self.upstream = NastyUpstream()
-        common = {"hall": "cmb-a", "platform": self.platform.address, **FAST}
+        self.upstream = MisbehavingUpstream()
+        common = {"hall": "cmb-a", "platform": self.platform.address, **FAST_SETTINGS}
         self.sidecar = Sidecar(
             Settings(
                 role="sidecar",
@@ -67,7 +67,7 @@
                     "hall": "cmb-a",
                     "http": self.sidecar.server.address,
                     "control": self.sidecar.control.address,
-                    "slots": CALLERS,
+                    "slots": CALLER_COUNT,
                 }
             },
             "services": {
@@ -79,8 +79,8 @@
         for process in (self.entry, self.sidecar):
             wait_for(lambda p=process: p.holder.version == 1, "configuration")  # type: ignore[misc]
 
-    def ask(self, number: int, mode: str) -> bytes | None:
-        """Return the answer that a caller got whole, or None."""
+    def send_request(self, number: int, mode: str) -> bytes | None:
+        """Return the complete response body that a caller received, or None."""
         call = self.callers.call(
             "POST",
             self.entry.server.address,
@@ -97,14 +97,14 @@
             return None
         return body if call.ok_value.status == 200 else None
 
-    def ask_many(
+    def send_requests(
         self, count: int, modes: tuple[str, ...], seed: int
     ) -> list[tuple[int, str, bytes | None]]:
         rng = random.Random(seed)
         plan = [(number, rng.choice(modes)) for number in range(count)]
-        with ThreadPoolExecutor(CALLERS) as pool:
-            answers = pool.map(lambda item: self.ask(*item), plan)
-        return [(n, m, a) for (n, m), a in zip(plan, answers, strict=True)]
+        with ThreadPoolExecutor(CALLER_COUNT) as pool:
+            responses = pool.map(lambda item: self.send_request(*item), plan)
+        return [(n, m, a) for (n, m), a in zip(plan, responses, strict=True)]
 
     def close(self) -> None:
         self.entry.stop()
@@ -114,21 +114,24 @@
 
 
 @pytest.fixture
-def path() -> Iterator[Path]:
-    made = Path()
-    yield made
-    made.close()
+def chain() -> Iterator[ProxyChain]:
+    started = ProxyChain()
+    yield started
+    started.close()
 
 
-def test_each_caller_gets_its_own_whole_answer_or_none(path: Path) -> None:
-    for number, mode, answer in path.ask_many(REQUESTS, MODES, seed=1):
-        naive = make_answer(number) if mode in CLEAN_MODES else None
-        assert answer == naive, f"request {number}, upstream answered {mode}"
+def test_each_caller_gets_its_own_complete_response_or_none(chain: ProxyChain) -> None:
+    for number, mode, response in chain.send_requests(REQUEST_COUNT, RESPONSE_MODES, seed=1):
+        expected = make_response(number) if mode in COMPLETE_MODES else None
+        assert response == expected, f"request {number}, response mode {mode}"
 
 
-def test_seeded_fault_kept_connections_to_upstreams_mix_answers(path: Path) -> None:
-    """Keep connections to the upstream: a late second answer goes to another caller."""
-    forwarder = path.sidecar.forwarder
+def test_seeded_fault_reused_upstream_connections_mix_responses(chain: ProxyChain) -> None:
+    """Check that the test detects mixed-up responses if connections to upstreams are reused.
+
+    A late second response to one request then goes to another caller.
+    """
+    forwarder = chain.sidecar.forwarder
     object.__setattr__(forwarder, "client", HttpClient(connect_timeout_s=2))
     deadline_s = read_clock() + 60
     seed = 0
@@ -136,9 +139,11 @@
         seed += 1
         wrong = [
             number
-            for number, _, answer in path.ask_many(BATCH, ("plain", "twice_late"), seed)
-            if answer is not None and answer != make_answer(number)
+            for number, _, response in chain.send_requests(
+                BATCH_SIZE, ("plain", "twice_late"), seed
+            )
+            if response is not None and response != make_response(number)
         ]
         if wrong:
             return
-    pytest.fail("no answer was mixed up")
+    pytest.fail("no responses were mixed up")
--- a/tests/test_verdict.py
+++ b/tests/test_verdict.py
@@ -1,4 +1,4 @@
-"""Test the table of verdicts."""
+"""Test the verdict and the retry decision for each step, as listed in docs/VERDICTS.md."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 NOT_RUN, MAY, RAN = Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN, Verdict.RAN
 
-# step: (verdict, retry if repeatable, retry if not)
+# step: (verdict, may retry if repeatable, may retry if not repeatable)
 TABLE = {
     Step.ADMIT: (NOT_RUN, False, False),
     Step.CHOOSE: (NOT_RUN, False, False),
@@ -22,17 +22,17 @@
 }
 
 
-def test_every_step_has_a_row() -> None:
+def test_table_has_every_step() -> None:
     assert set(TABLE) == set(Step)
 
 
 @pytest.mark.parametrize("step", Step)
 def test_table(step: Step) -> None:
-    verdict, if_repeatable, if_not = TABLE[step]
+    verdict, if_repeatable, if_not_repeatable = TABLE[step]
     assert judge_failure(step, repeatable=True) == FailureAssessment(verdict, if_repeatable)
-    assert judge_failure(step, repeatable=False) == FailureAssessment(verdict, if_not)
+    assert judge_failure(step, repeatable=False) == FailureAssessment(verdict, if_not_repeatable)
 
 
 @pytest.mark.parametrize("step", Step)
-def test_no_retry_once_an_answer_has_begun(step: Step) -> None:
+def test_no_retry_after_the_response_has_begun(step: Step) -> None:
     assert judge_failure(step, repeatable=True, answer_begun=True) == FailureAssessment(RAN, False)
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -1,4 +1,4 @@
-"""Test that malformed and hostile HTTP is refused with a clear error and harms nobody."""
+"""Test that malformed and malicious HTTP is rejected and affects no other request."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from dalehollow.web.client import AnswerCutError
 from dalehollow.web.server import _is_socket_open
 
-BODY_LIMIT = 8 * 1024 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024
 
 
-class Echo:
-    """Count what reached the handler, and answer with the body."""
+class EchoHandler:
+    """Count the requests that reach the handler and return their bodies."""
 
     def __init__(self) -> None:
         self.served = 0
@@ -26,9 +26,9 @@
     def handle(self, req: HttpRequest) -> HttpResponse:
         self.served += 1
         if req.path == "/cut":
-            return HttpResponse(200, {}, _cut())
+            return HttpResponse(200, {}, _send_truncated())
         if req.path == "/cut-at-once":
-            return HttpResponse(200, {}, _cut_at_once())
+            return HttpResponse(200, {}, _send_nothing())
         if req.path.startswith("/target"):
             return HttpResponse(200, {}, f"{req.path} {req.query}".encode())
         if req.path == "/fail":
@@ -36,19 +36,19 @@
         return HttpResponse(200, {}, req.body)
 
 
-def _cut() -> Iterator[bytes]:
+def _send_truncated() -> Iterator[bytes]:
     yield b"half"
     raise ConnectionError("cut")
 
 
-def _cut_at_once() -> Iterator[bytes]:
+def _send_nothing() -> Iterator[bytes]:
     raise ConnectionError("cut")
     yield b""
 
 
 @pytest.fixture
-def echo() -> Iterator[tuple[Echo, str]]:
-    handler = Echo()
+def echo() -> Iterator[tuple[EchoHandler, str]]:
+    handler = EchoHandler()
     server = HttpServer("127.0.0.1", 0, handler.handle, name="echo")
     server.start()
     yield handler, server.address
@@ -66,29 +66,45 @@
     return received
 
 
-HEAD = b"POST /a HTTP/1.1\r\nHost: x\r\n"
-HOSTILE = [
-    ("repeated header", HEAD + b"X-A: 1\r\nX-A: 2\r\nContent-Length: 0\r\n\r\n", b"given twice"),
-    ("repeated key", HEAD + b"Idempotency-Key: 1\r\nIdempotency-Key: 2\r\n\r\n", b"given twice"),
-    ("two lengths", HEAD + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc", b"given twice"),
+REQUEST_HEAD = b"POST /a HTTP/1.1\r\nHost: x\r\n"
+MALFORMED_REQUESTS = [
+    (
+        "repeated header",
+        REQUEST_HEAD + b"X-A: 1\r\nX-A: 2\r\nContent-Length: 0\r\n\r\n",
+        b"given twice",
+    ),
+    (
+        "repeated key",
+        REQUEST_HEAD + b"Idempotency-Key: 1\r\nIdempotency-Key: 2\r\n\r\n",
+        b"given twice",
+    ),
+    (
+        "two lengths",
+        REQUEST_HEAD + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
+        b"given twice",
+    ),
     (
         "length and chunks",
-        HEAD + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+        REQUEST_HEAD + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         b"conflicts with",
     ),
-    ("odd length", HEAD + b"Content-Length: +3\r\n\r\nabc", b"not digits"),
-    ("negative length", HEAD + b"Content-Length: -3\r\n\r\nabc", b"not digits"),
-    ("unknown encoding", HEAD + b"Transfer-Encoding: xchunked\r\n\r\n", b"501"),
-    ("no colon", HEAD + b"nonsense\r\n\r\n", b"Illegal header line"),
+    ("odd length", REQUEST_HEAD + b"Content-Length: +3\r\n\r\nabc", b"not digits"),
+    ("negative length", REQUEST_HEAD + b"Content-Length: -3\r\n\r\nabc", b"not digits"),
+    ("unknown encoding", REQUEST_HEAD + b"Transfer-Encoding: xchunked\r\n\r\n", b"501"),
+    ("no colon", REQUEST_HEAD + b"nonsense\r\n\r\n", b"Illegal header line"),
     ("bare line feed", b"POST /a HTTP/1.1\nHost: x\n\n", b"CRLF"),
-    ("long header", HEAD + b"X-A: " + b"a" * 40_000 + b"\r\n\r\n", b"413"),
-    ("long body", HEAD + b"Content-Length: %d\r\n\r\n" % (BODY_LIMIT + 1), b"413"),
+    ("long header", REQUEST_HEAD + b"X-A: " + b"a" * 40_000 + b"\r\n\r\n", b"413"),
+    ("long body", REQUEST_HEAD + b"Content-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), b"413"),
     ("not HTTP", b"\x16\x03\x01\x02\x00\r\n\r\n", b"400"),
 ]
 
 
-@pytest.mark.parametrize(("name", "data", "expected"), HOSTILE, ids=[h[0] for h in HOSTILE])
-def test_hostile(echo: tuple[Echo, str], name: str, data: bytes, expected: bytes) -> None:
+@pytest.mark.parametrize(
+    ("name", "data", "expected"), MALFORMED_REQUESTS, ids=[h[0] for h in MALFORMED_REQUESTS]
+)
+def test_malformed_request_is_rejected(
+    echo: tuple[EchoHandler, str], name: str, data: bytes, expected: bytes
+) -> None:
     handler, address = echo
     received = send_raw(address, data)
     assert expected in received
@@ -99,23 +115,23 @@
     assert answer.unwrap().read() == b"ok"
 
 
-def test_chunks_over_the_body_limit(echo: tuple[Echo, str]) -> None:
+def test_chunked_body_over_the_limit_is_rejected(echo: tuple[EchoHandler, str]) -> None:
     handler, address = echo
     chunk = b"%x\r\n" % (1024 * 1024) + b"a" * (1024 * 1024) + b"\r\n"
-    received = send_raw(address, HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunk * 10)
+    received = send_raw(address, REQUEST_HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunk * 10)
     assert b"413" in received
     assert handler.served == 0
 
 
-def test_body_cut_short_is_not_served(echo: tuple[Echo, str]) -> None:
+def test_truncated_body_is_not_served(echo: tuple[EchoHandler, str]) -> None:
     handler, address = echo
-    received = send_raw(address, HEAD + b"Content-Length: 10\r\n\r\nabc")
+    received = send_raw(address, REQUEST_HEAD + b"Content-Length: 10\r\n\r\nabc")
     assert b" 200 " not in received
     assert handler.served == 0
 
 
 @pytest.mark.parametrize("path", ["/cut", "/cut-at-once"])
-def test_cut_answer_has_no_clean_end(echo: tuple[Echo, str], path: str) -> None:
+def test_truncated_response_raises(echo: tuple[EchoHandler, str], path: str) -> None:
     _, address = echo
     answer = HttpClient(connect_timeout_s=1).call("GET", address, path, timeout_s=5).unwrap()
     assert answer.status == 200
@@ -124,7 +140,7 @@
 
 
 @pytest.mark.parametrize("is_listening", [True, False])
-def test_how_far_a_failed_call_came(is_listening: bool) -> None:
+def test_error_states_whether_the_request_was_sent(is_listening: bool) -> None:
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         if is_listening:
@@ -134,7 +150,7 @@
     assert call.unwrap_err().sent is is_listening
 
 
-def test_failed_handler_does_not_claim_not_run(echo: tuple[Echo, str]) -> None:
+def test_failed_handler_may_have_run(echo: tuple[EchoHandler, str]) -> None:
     _, address = echo
     answer = HttpClient(connect_timeout_s=1).call("GET", address, "/fail", timeout_s=5).unwrap()
     assert (answer.status, answer.headers["dalehollow-verdict"]) == (500, "MAY_HAVE_RUN")
@@ -148,15 +164,18 @@
         (b"/target%0d%0aX-A:%201", b"/target%0d%0aX-A:%201 "),
     ],
 )
-def test_target_is_passed_as_it_was_sent(
-    echo: tuple[Echo, str], target: bytes, expected: bytes
+def test_target_is_forwarded_undecoded(
+    echo: tuple[EchoHandler, str], target: bytes, expected: bytes
 ) -> None:
     received = send_raw(echo[1], b"GET " + target + b" HTTP/1.1\r\nHost: x\r\n\r\n")
     assert received.partition(b"\r\n\r\n")[2] == expected
 
 
-def test_connection_on_a_high_descriptor_is_seen_as_open() -> None:
-    """A process with over 1,024 descriptors took every caller for gone (select.select)."""
+def test_open_connection_with_a_high_descriptor() -> None:
+    """select.select fails for file descriptors of 1,024 and above.
+
+    With it, a process with more descriptors treated every caller as disconnected.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 2_048)), hard))
     left, right = socket.socketpair()
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """Count the time that the loop would have waited, and wait for nothing."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """Return immediately and advance the virtual time by the time-out instead."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -20,23 +20,23 @@
         if ready:
             return ready
         if timeout is None:
-            raise RuntimeError("nothing is scheduled: the coroutine waits for ever")
+            raise RuntimeError("no timer is scheduled: the coroutine would wait forever")
         self.now_s += max(0.0, timeout)
         return ready
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
-    """Hold an event loop on virtual time; nothing in it may wait for the outside."""
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """Run on virtual time; no callback may depend on other processes or threads."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._jumping.now_s
+        return self._virtual_selector.now_s
 
 
 def run_virtual(main: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine to its end on virtual time and return its result."""
-    with asyncio.Runner(loop_factory=VirtualLoop) as runner:
+    """Run a coroutine to completion on virtual time and return its result."""
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(main)
