--- a/dalehollow/web/server.py
+++ b/dalehollow/web/server.py
@@ -203,7 +203,7 @@
         self._tracker.is_closing = True
 
     def wait_idle(self, timeout_s: float) -> int:
-        """Wait until no request is in progress; return how many are after `timeout_s`."""
+        """Wait at most `timeout_s` for all requests to end; return how many are in progress."""
         return self._tracker.wait_idle(timeout_s)
 
     def stop(self) -> None:
