--- a/dalehollow/aio/__init__.py
+++ b/dalehollow/aio/__init__.py
@@ -4,21 +4,21 @@
 
 from dalehollow.aio.caller import CallerConnection, CallerRequest, Handler, Limits
 from dalehollow.aio.client import (
-    AnswerHead,
     ClientConnection,
     ConnectError,
-    CutError,
+    ResponseError,
+    ResponseHead,
     connect,
 )
 
 __all__ = [
-    "AnswerHead",
     "CallerConnection",
     "CallerRequest",
     "ClientConnection",
     "ConnectError",
-    "CutError",
     "Handler",
     "Limits",
+    "ResponseError",
+    "ResponseHead",
     "connect",
 ]
--- a/dalehollow/aio/caller.py
+++ b/dalehollow/aio/caller.py
@@ -85,9 +85,9 @@
         self._error_status = 0
         self._head_sent = False
         self._is_chunked = False
-        self.keeps_alive = True
+        self.keep_alive = True
         self.is_busy = False
-        self.is_gone = False
+        self.is_disconnected = False
 
     # asyncio.Protocol callbacks
 
@@ -119,7 +119,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the task that serves this connection."""
-        self.is_gone = True
+        self.is_disconnected = True
         self._connections.discard(self)
         self._writable.set()
         if self._task is not None:
@@ -183,7 +183,7 @@
             began_at_s=self._began_at_s,
         )
         self._headers, self._body, self._body_bytes = [], [], 0
-        self.keeps_alive = self.keeps_alive and self._parser.should_keep_alive()
+        self.keep_alive = self.keep_alive and self._parser.should_keep_alive()
         self._requests.append(request)
         self._arrived.set()
         if len(self._requests) > 1 and self._transport is not None:
@@ -191,7 +191,9 @@
 
     # Interface for handlers
 
-    def send_whole(self, status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes) -> None:
+    def send_response(
+        self, status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes
+    ) -> None:
         """Send a complete response."""
         length = (b"content-length", str(len(body)).encode())
         self._send_head(status, [*headers, length], body)
@@ -223,14 +225,14 @@
         if self._is_chunked and self._transport is not None:
             self._transport.write(_LAST_CHUNK)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, so that a partial response cannot look complete."""
-        self.keeps_alive = False
+        self.keep_alive = False
         if self._transport is not None:
             self._transport.abort()
 
     @property
-    def has_begun(self) -> bool:
+    def has_sent_head(self) -> bool:
         """Return whether the response head for the current request was sent."""
         return self._head_sent
 
@@ -244,7 +246,7 @@
     # Serving task
 
     async def _serve(self) -> None:
-        while not self.is_gone:
+        while not self.is_disconnected:
             request = await self._next_request()
             if request is None:
                 break
@@ -254,10 +256,10 @@
             except Exception as exc:
                 # Abort, so that the caller sees an error instead of no response or a partial one.
                 _LOG.error("event=handler_failed", exc_info=exc)
-                self.cut()
+                self.abort()
             finally:
                 self.is_busy = False
-            if not self.keeps_alive:
+            if not self.keep_alive:
                 break
         if self._transport is not None:
             self._transport.close()
@@ -290,7 +292,7 @@
         self._head_sent = True
         lines = [b"HTTP/1.1 %d %s" % (status, _REASON_PHRASES.get(status, "Unknown").encode())]
         lines += [k + b": " + v for k, v in headers]
-        if not self.keeps_alive:
+        if not self.keep_alive:
             lines.append(b"connection: close")
         self._transport.write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
 
@@ -307,5 +309,5 @@
         self._arrived.set()
 
     def _send_error(self) -> None:
-        self.keeps_alive = False
-        self.send_whole(self._error_status, [], b"")
+        self.keep_alive = False
+        self.send_response(self._error_status, [], b"")
--- a/dalehollow/aio/client.py
+++ b/dalehollow/aio/client.py
@@ -37,12 +37,12 @@
         self.is_refused = is_refused
 
 
-class CutError(ConnectionError):
-    """Report a connection that closed or sent invalid HTTP before the response was complete."""
+class ResponseError(ConnectionError):
+    """Report a response that is incomplete or cannot be used."""
 
 
 @dataclass(frozen=True)
-class AnswerHead:
+class ResponseHead:
     """Hold the status and headers of a response; header names are in lower case."""
 
     status: int
@@ -59,7 +59,7 @@
     def __init__(self) -> None:
         """Create an unconnected protocol; use `connect` to open a connection."""
         self._parser: Any = httptools.HttpResponseParser(self)
-        self._items: deque[AnswerHead | bytes | None] = deque()
+        self._items: deque[ResponseHead | bytes | None] = deque()
         self._buffered_bytes = 0
         self._waiter: asyncio.Future[None] | None = None
         self._transport: asyncio.Transport | None = None
@@ -84,7 +84,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as exc:
-            self._fail(CutError(f"invalid HTTP response: {exc}"))
+            self._fail(ResponseError(f"invalid HTTP response: {exc}"))
             self.abort()
 
     def eof_received(self) -> bool:
@@ -92,12 +92,12 @@
         if self._ends_with_connection:
             self._finish()
         else:
-            self._fail(CutError("the server closed the connection"))
+            self._fail(ResponseError("the server closed the connection"))
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail pending and later reads."""
-        self._fail(CutError(f"connection lost: {exc or 'closed'}"))
+        self._fail(ResponseError(f"connection lost: {exc or 'closed'}"))
 
     # httptools parser callbacks
 
@@ -115,7 +115,7 @@
         framing = {name for name, _ in headers}
         is_framed = bool(framing & {b"content-length", b"transfer-encoding"})
         self._ends_with_connection = not is_framed and status not in _NO_BODY_STATUSES
-        self._put(AnswerHead(status, headers))
+        self._put(ResponseHead(status, headers))
 
     def on_body(self, body: bytes) -> None:
         """Queue a piece of the body; pause reading while too much is buffered."""
@@ -133,23 +133,23 @@
     # Interface for requests
 
     def send(self, parts: Iterable[bytes]) -> None:
-        """Send a complete request; raise CutError if the connection is closed."""
+        """Send a complete request; raise ResponseError if the connection is closed."""
         if self._transport is None or self._transport.is_closing():
-            raise CutError("the connection is closed")
+            raise ResponseError("the connection is closed")
         self._transport.write(b"".join(parts))
 
-    async def read_head(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         """Return the head of the next response, skipping the rest of an earlier one."""
         while True:
             item = await self._next()
-            if isinstance(item, AnswerHead):
+            if isinstance(item, ResponseHead):
                 return item
 
     async def read_piece(self) -> bytes | None:
         """Return the next piece of the body, or None at its end."""
         item = await self._next()
-        if isinstance(item, AnswerHead):
-            raise CutError("a new response began before the end of this one")
+        if isinstance(item, ResponseHead):
+            raise ResponseError("a new response began before the end of this one")
         return item
 
     async def read_body(self) -> bytes:
@@ -159,7 +159,7 @@
             pieces.append(piece)
         return b"".join(pieces)
 
-    async def read_body_while_it_comes(self, limit: asyncio.Timeout) -> bytes:
+    async def read_body_with_timeout(self, limit: asyncio.Timeout) -> bytes:
         """Return the body; each piece extends `limit` until ANSWER_TIMEOUT_S have passed."""
         clock = asyncio.get_running_loop().time
         deadline_s = clock() + ANSWER_TIMEOUT_S
@@ -176,7 +176,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    async def _next(self) -> AnswerHead | bytes | None:
+    async def _next(self) -> ResponseHead | bytes | None:
         while not self._items:
             if self._error is not None:
                 raise self._error
@@ -194,7 +194,7 @@
                 self._transport.resume_reading()
         return item
 
-    def _put(self, item: AnswerHead | bytes | None) -> None:
+    def _put(self, item: ResponseHead | bytes | None) -> None:
         self._items.append(item)
         self._wake()
 
--- a/dalehollow/clock.py
+++ b/dalehollow/clock.py
@@ -17,7 +17,7 @@
     return time.clock_gettime(_CLOCK)
 
 
-class ClockLoop(asyncio.SelectorEventLoop):
+class BootTimeEventLoop(asyncio.SelectorEventLoop):
     """Schedule by `read_clock`: timers that expire during a suspension fire at its end."""
 
     def time(self) -> float:
--- a/dalehollow/config/check.py
+++ b/dalehollow/config/check.py
@@ -38,7 +38,7 @@
         raw, lines = parse_jsonc(text)
     except JsoncError as exc:
         return Err((Mistake(exc.line, "", f"is not valid JSON with comments: {exc}"),))
-    walker = Walker(lines.of)
+    walker = Walker(lines.by_path)
     cfg = _read_config(walker, raw)
     return Err(tuple(walker.mistakes)) if walker.mistakes else Ok(cfg)
 
--- a/dalehollow/entry/attempt.py
+++ b/dalehollow/entry/attempt.py
@@ -13,9 +13,9 @@
 from dalehollow.membership import UpstreamView
 from dalehollow.protocol import headers as hdr
 from dalehollow.routing import LoadReport
-from dalehollow.verdict import Step, Verdict, judge_failure
+from dalehollow.verdict import Step, Verdict, assess_failure
 from dalehollow.web import Answer, CallError, HttpClient
-from dalehollow.web.client import AnswerCutError
+from dalehollow.web.client import TruncatedResponseError
 from dalehollow.web.refusal import read_refusal
 
 _MS_PER_S = 1000
@@ -78,7 +78,7 @@
         return Ok(answer)
     try:
         body = answer.read()
-    except AnswerCutError:
+    except TruncatedResponseError:
         body = b""
     failure = read_refusal(answer.headers, body)
     assert failure is not None
@@ -89,7 +89,7 @@
     connect = Step.CONNECT_UPSTREAM if is_direct else Step.CONNECT_SIDECAR
     send = Step.SEND_UPSTREAM if is_direct else Step.SEND_SIDECAR
     step = send if error.sent else connect
-    ruling = judge_failure(step, repeatable=job.repeatable)
+    ruling = assess_failure(step, repeatable=job.repeatable)
     is_deadline = error.sent and error.timed_out and job.deadline_s <= read_clock()
     reason = Reason.UPSTREAM_FAILED if error.sent else Reason.UPSTREAM_UNREACHABLE
     return Failure(
--- a/dalehollow/entry/process.py
+++ b/dalehollow/entry/process.py
@@ -76,7 +76,7 @@
         connect_timeout_s = settings.connect_timeout_ms / _MS_PER_S
         upstream_client = UpstreamClient(
             client=HttpClient(connect_timeout_s=connect_timeout_s),
-            direct_client=HttpClient(connect_timeout_s=connect_timeout_s, keeps=False),
+            direct_client=HttpClient(connect_timeout_s=connect_timeout_s, keep_alive=False),
             inner_key=settings.inner_key,
             answer_timeout_s=settings.answer_timeout_ms / _MS_PER_S,
         )
--- a/dalehollow/entry/serve.py
+++ b/dalehollow/entry/serve.py
@@ -23,7 +23,7 @@
 from dalehollow.telemetry.logs import log_event
 from dalehollow.verdict import Verdict
 from dalehollow.web import Answer, HttpResponse
-from dalehollow.web.client import AnswerCutError
+from dalehollow.web.client import TruncatedResponseError
 
 MAX_TRIES = 3
 _RETRY_NO_UPSTREAM_MS = 1_000
@@ -133,11 +133,11 @@
         if answer.headers.get(hdr.REPLAYED) == "true":
             headers[hdr.REPLAYED] = "true"
         body = stream_answer(answer, served.view)
-        if not answer.is_whole():
+        if not answer.can_be_buffered():
             return Ok(HttpResponse(answer.status, headers, self._relay_stream(job, answer, body)))
         try:
             whole = b"".join(body)
-        except AnswerCutError:
+        except TruncatedResponseError:
             message = "the upstream's response was truncated"
             return Err(Failure(Reason.UPSTREAM_FAILED, Verdict.RAN, message))
         return Ok(HttpResponse(answer.status, headers, whole))
@@ -147,7 +147,7 @@
         is_events = answer.headers.get("content-type", "").startswith("text/event-stream")
         try:
             yield from body
-        except AnswerCutError:
+        except TruncatedResponseError:
             log_event(_log, "answer_cut", logging.WARNING, request_id=job.request_id)
             if is_events:
                 error = {"reason": Reason.UPSTREAM_FAILED, "verdict": Verdict.RAN}
--- a/dalehollow/gateway/__main__.py
+++ b/dalehollow/gateway/__main__.py
@@ -9,7 +9,7 @@
 import signal
 import sys
 
-from dalehollow.clock import ClockLoop
+from dalehollow.clock import BootTimeEventLoop
 from dalehollow.errors import SettingsError
 from dalehollow.gateway.process import Gateway
 from dalehollow.gateway.settings import GatewaySettings, read_gateway_settings, read_unknown
@@ -37,7 +37,7 @@
     writer = setup_logs(settings.name, settings.log_level, settings.log_lines_per_s)
     if unknown := read_unknown(path):
         log_event(_LOG, "settings_unknown", logging.WARNING, fields=",".join(unknown))
-    with asyncio.Runner(loop_factory=ClockLoop) as runner:
+    with asyncio.Runner(loop_factory=BootTimeEventLoop) as runner:
         runner.run(_run(settings, path, writer))
 
 
@@ -61,7 +61,7 @@
         log_event(_LOG, "reload_failed", logging.ERROR, error=exc)
         return
     logging.getLogger().setLevel(settings.log_level.upper())
-    writer.resize(settings.log_lines_per_s)
+    writer.set_rate(settings.log_lines_per_s)
     changed = [
         f.name
         for f in dataclasses.fields(settings)
--- a/dalehollow/gateway/attempt.py
+++ b/dalehollow/gateway/attempt.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from dalehollow.aio import AnswerHead, ClientConnection, ConnectError, CutError, connect
+from dalehollow.aio import ClientConnection, ConnectError, ResponseError, ResponseHead, connect
 from dalehollow.gateway.admit import Job
 from dalehollow.gateway.headers import HOP_HEADERS, HeaderNames
 from dalehollow.gateway.signals import Signals, read_signals
@@ -20,7 +20,7 @@
     """Hold the answer of an upstream that executed the request, with its body yet unread."""
 
     connection: ClientConnection
-    head: AnswerHead
+    head: ResponseHead
     signals: Signals
 
 
@@ -105,14 +105,16 @@
             return not_run
         is_handed_over = True
         return Answered(connection, head, read_signals(head, names))
-    except CutError as exc:
+    except ResponseError as exc:
         return MayHaveRun(str(exc))
     finally:
         if not is_handed_over:
             connection.abort()
 
 
-async def _read_own_head(connection: ClientConnection, job: Job, names: HeaderNames) -> AnswerHead:
+async def _read_own_head(
+    connection: ClientConnection, job: Job, names: HeaderNames
+) -> ResponseHead:
     """Return the head of the answer to this request, skipping answers with another request ID."""
     while True:
         head = await connection.read_head()
@@ -121,7 +123,7 @@
             return head
 
 
-def _read_not_run(head: AnswerHead, names: HeaderNames) -> NotRun | None:
+def _read_not_run(head: ResponseHead, names: HeaderNames) -> NotRun | None:
     if head.status == _MISDIRECTED_STATUS:
         return NotRun("another_upstream", is_other_upstream=True)
     if head.get(names.not_run) is None:
@@ -131,7 +133,7 @@
     return NotRun(f"refused_{head.status}", is_group_broken=is_broken, signals=signals)
 
 
-def _note_load(upstream: Upstream, head: AnswerHead, names: HeaderNames, now_s: float) -> None:
+def _note_load(upstream: Upstream, head: ResponseHead, names: HeaderNames, now_s: float) -> None:
     value = head.get(names.load)
     parts = value.split(b",") if value else []
     if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
--- a/dalehollow/gateway/copies.py
+++ b/dalehollow/gateway/copies.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from dalehollow.aio import CallerConnection, CallerRequest, ClientConnection, CutError, connect
+from dalehollow.aio import CallerConnection, CallerRequest, ClientConnection, ResponseError, connect
 from dalehollow.gateway.feed import HallFeed
 from dalehollow.protocol.reports import StoreChanges
 from dalehollow.protocol.revisions import show_revision
@@ -97,15 +97,15 @@
         """Answer another gateway's request with all known changes after a revision."""
         after = _parse_after(request.target)
         if after is None:
-            caller.send_whole(HTTPStatus.BAD_REQUEST, [], b"")
+            caller.send_response(HTTPStatus.BAD_REQUEST, [], b"")
             return
         if not self._feed.revision:
-            caller.send_whole(HTTPStatus.NOT_FOUND, [], b"")
+            caller.send_response(HTTPStatus.NOT_FOUND, [], b"")
             return
         if (self._cached.after, self._cached.update_count) != (after, self._feed.update_count):
             body = msgspec.msgpack.encode(self._feed.list_changes(after))
             self._cached = _CachedResponse(after, self._feed.update_count, body)
-        caller.send_whole(HTTPStatus.OK, [], self._cached.body)
+        caller.send_response(HTTPStatus.OK, [], self._cached.body)
 
     def _choose_source(self, wanted: int) -> str:
         """Return the address of a gateway that has a revision, "" if none was heard recently."""
@@ -143,8 +143,8 @@
                 connection.send([head.encode()])
                 answer = await connection.read_head()
                 if answer.status != HTTPStatus.OK:
-                    raise CutError(f"status {answer.status}")
-                return await connection.read_body_while_it_comes(limit)
+                    raise ResponseError(f"status {answer.status}")
+                return await connection.read_body_with_timeout(limit)
         finally:
             if connection is not None:
                 connection.abort()
--- a/dalehollow/gateway/exchange.py
+++ b/dalehollow/gateway/exchange.py
@@ -6,7 +6,7 @@
 import logging
 from http import HTTPStatus
 
-from dalehollow.aio import AnswerHead, CallerConnection, CallerRequest, CutError
+from dalehollow.aio import CallerConnection, CallerRequest, ResponseError, ResponseHead
 from dalehollow.gateway import outcome
 from dalehollow.gateway.admission import NoPlace, Turn
 from dalehollow.gateway.admit import Job, Refusal, admit
@@ -120,7 +120,7 @@
         """Make one attempt; return whether the request is finished."""
         job, state, progress = self._job, self._state, self._progress
         self._count_attempt()
-        resume_after = progress.splitter.last_id if self._caller.has_begun else None
+        resume_after = progress.splitter.last_id if self._caller.has_sent_head else None
         may_have_run_before, progress.may_have_run = progress.may_have_run, True
         self._sent_at_s = self._clock()
         move = Move()
@@ -180,7 +180,7 @@
         """Relay an answer; return False if it broke off and another attempt may continue it."""
         try:
             return await self._relay(upstream, answered)
-        except CutError as exc:
+        except ResponseError as exc:
             await self._note_broken_off(upstream, move)
             if move.is_asked:
                 self._note_attempt(upstream, "attempt_moved", str(move.why))
@@ -227,8 +227,8 @@
         """Relay an answer; return False if the request is to be retried instead."""
         head, connection = answered.head, answered.connection
         is_stream = self._job.route.kind is RequestKind.STREAM and head.status == HTTPStatus.OK
-        if self._caller.has_begun and not is_stream:
-            raise CutError(
+        if self._caller.has_sent_head and not is_stream:
+            raise ResponseError(
                 f"upstream answered status {head.status} to a request to resume a stream"
             )
         if is_stream:
@@ -239,13 +239,13 @@
             self._note_answer_latency()
             if self._note_status(upstream, head) and self._take_retry(is_answered=True):
                 return False
-            self._caller.send_whole(head.status, _end_to_end_headers(head), body)
+            self._caller.send_response(head.status, _end_to_end_headers(head), body)
         if head.status < _FIRST_FAILED_STATUS:
             self._state.crashes.note_answered(self._make_fingerprint())
         outcome.note_done(self._state, self._job, self._progress, head.status)
         return True
 
-    def _note_status(self, upstream: Upstream, head: AnswerHead) -> bool:
+    def _note_status(self, upstream: Upstream, head: ResponseHead) -> bool:
         """Record a complete answer as a success or failure; return whether it is a failure."""
         if head.status < _FIRST_FAILED_STATUS:
             upstream.note_answer(failed=False)
@@ -256,7 +256,7 @@
     async def _relay_stream(self, upstream: Upstream, answered: Answered) -> None:
         head, connection = answered.head, answered.connection
         splitter = self._progress.splitter
-        if not self._caller.has_begun:
+        if not self._caller.has_sent_head:
             length = head.get(b"content-length")
             self._caller.begin_stream(
                 head.status, _end_to_end_headers(head), length=int(length) if length else None
@@ -303,7 +303,7 @@
     def _give_up(self, reason: str, retry_after_s: float) -> None:
         """End the request with an error response, or cut off an answer that has begun."""
         state, caller, job, progress = self._state, self._caller, self._job, self._progress
-        if caller.has_begun:
+        if caller.has_sent_head:
             outcome.cut(state, caller, job, progress, reason)
         elif progress.may_have_run:
             status = HTTPStatus.BAD_GATEWAY
@@ -327,5 +327,5 @@
         )
 
 
-def _end_to_end_headers(head: AnswerHead) -> list[tuple[bytes, bytes]]:
+def _end_to_end_headers(head: ResponseHead) -> list[tuple[bytes, bytes]]:
     return [(k, v) for k, v in head.headers if k not in HOP_HEADERS]
--- a/dalehollow/gateway/outcome.py
+++ b/dalehollow/gateway/outcome.py
@@ -60,7 +60,7 @@
         config_version=state.table.version if state.table is not None else None,
         **_describe_config(state, refusal),
     )
-    caller.send_whole(refusal.status, headers, b"")
+    caller.send_response(refusal.status, headers, b"")
 
 
 def _describe_config(state: GatewayState, refusal: Refusal) -> dict[str, object]:
@@ -94,14 +94,14 @@
         reason=reason,
         retry_after_s=round(retry_after_s, 3) if retry_after_s is not None else None,
     )
-    caller.send_whole(status, headers, b"")
+    caller.send_response(status, headers, b"")
 
 
 def end_timed_out(
     state: GatewayState, caller: CallerConnection, job: Job, progress: Progress
 ) -> None:
     """End a request whose deadline has passed."""
-    if caller.has_begun:
+    if caller.has_sent_head:
         cut(state, caller, job, progress, "timeout")
         return
     if progress.may_have_run:
@@ -119,7 +119,7 @@
     state.metrics.count("requests", outcome="cut", reason=reason)
     last_id = progress.splitter.last_id
     _log_end("answer_cut", job, progress, reason=reason, last_event=(last_id or b"").decode())
-    caller.cut()
+    caller.abort()
 
 
 def note_done(state: GatewayState, job: Job, progress: Progress, status: int) -> None:
--- a/dalehollow/gateway/process.py
+++ b/dalehollow/gateway/process.py
@@ -279,7 +279,7 @@
 
     async def _serve(self, caller: CallerConnection, request: CallerRequest) -> None:
         if self._is_stopping:
-            caller.keeps_alive = False
+            caller.keep_alive = False
         if self.refuses_new:
             refusal = Refusal(HTTPStatus.SERVICE_UNAVAILABLE, "stopping", STOPPING_RETRY_AFTER_S)
             refuse(self.state, caller, request, refusal)
@@ -288,7 +288,7 @@
 
     async def _answer_ready(self, connection: CallerConnection, request: CallerRequest) -> None:
         status = HTTPStatus.OK if self.is_ready() else HTTPStatus.SERVICE_UNAVAILABLE
-        connection.send_whole(status, [], b"")
+        connection.send_response(status, [], b"")
 
     async def _stop(self, server: asyncio.Server) -> None:
         """Serve until the balancer has noticed and no request is in flight, within the grace."""
--- a/dalehollow/gateway/signals.py
+++ b/dalehollow/gateway/signals.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from http import HTTPStatus
 
-from dalehollow.aio import AnswerHead
+from dalehollow.aio import ResponseHead
 from dalehollow.gateway.headers import HeaderNames
 
 MAX_BACKOFF_S = 3600.0
@@ -29,7 +29,7 @@
     unusable: tuple[bytes, ...] = ()
 
 
-def read_signals(head: AnswerHead, names: HeaderNames) -> Signals:
+def read_signals(head: ResponseHead, names: HeaderNames) -> Signals:
     """Return the state reported in an answer.
 
     Of several values of a header the most restrictive one is used.
@@ -52,7 +52,7 @@
     return float(value) if _DECIMAL.fullmatch(value) else None
 
 
-def _list_values(head: AnswerHead, name: bytes) -> list[bytes]:
+def _list_values(head: ResponseHead, name: bytes) -> list[bytes]:
     """Return all values of a header, including those of comma-separated lists."""
     lines = (value for key, value in head.headers if key == name)
     return [part.strip() for line in lines for part in line.split(b",")]
@@ -64,7 +64,7 @@
     unusable: tuple[bytes, ...] = ()
 
 
-def _parse_values(head: AnswerHead, name: bytes) -> _Values:
+def _parse_values(head: ResponseHead, name: bytes) -> _Values:
     values = _list_values(head, name)
     parsed = [(value, parse_decimal(value)) for value in values]
     return _Values(
--- a/dalehollow/gateway/status.py
+++ b/dalehollow/gateway/status.py
@@ -112,8 +112,8 @@
     async def answer(caller: CallerConnection, request: CallerRequest) -> None:
         if request.target.startswith(DUMP_PATH):
             body = json.dumps(make_dump(sources), indent=2).encode()
-            caller.send_whole(HTTPStatus.OK, _JSON, body)
+            caller.send_response(HTTPStatus.OK, _JSON, body)
             return
-        caller.send_whole(HTTPStatus.OK, _TEXT, sources.state.metrics.expose().encode())
+        caller.send_response(HTTPStatus.OK, _TEXT, sources.state.metrics.expose().encode())
 
     return answer
--- a/dalehollow/jsonc.py
+++ b/dalehollow/jsonc.py
@@ -30,17 +30,17 @@
 
 
 @dataclass
-class Lines:
+class LineIndex:
     """Map the path of each value, such as `services.gate.upstreams[0]`, to its line.
 
     `repeated` holds the path and line of each key that occurs again in the same object.
     """
 
-    of: dict[str, int] = field(default_factory=lambda: {"": 1})
+    by_path: dict[str, int] = field(default_factory=lambda: {"": 1})
     repeated: list[tuple[str, int]] = field(default_factory=list)
 
 
-def parse_jsonc(text: str) -> tuple[Any, Lines]:
+def parse_jsonc(text: str) -> tuple[Any, LineIndex]:
     """Parse a text; raise JsoncError if it is invalid or an object has a duplicate key."""
     try:
         value = pyjson5.decode(text)
@@ -59,10 +59,10 @@
     return text.count("\n", 0, int(position.group(1))) + 1 if position else 1
 
 
-def find_lines(text: str) -> Lines:
+def find_lines(text: str) -> LineIndex:
     """Locate the lines of all values and duplicate keys in a valid text."""
-    found = Lines()
-    lines = found.of
+    found = LineIndex()
+    lines = found.by_path
     stack: list[str | int] = []
     in_object: list[bool] = []
     key: str | None = None
--- a/dalehollow/platform/ranks.py
+++ b/dalehollow/platform/ranks.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from dalehollow.aio import ConnectError, CutError, connect
+from dalehollow.aio import ConnectError, ResponseError, connect
 from dalehollow.groups.ranks import GroupMap, OrderReply, RankCounts, RankReport
 
 CONNECT_TIMEOUT_S = 0.12
@@ -171,7 +171,7 @@
                 connection.send([head.encode(), b"\r\n", body])
                 answer = await connection.read_head()
                 return answer.status, await connection.read_body()
-        except (ConnectError, CutError, TimeoutError):
+        except (ConnectError, ResponseError, TimeoutError):
             return None
         finally:
             if connection is not None:
--- a/dalehollow/platform/store.py
+++ b/dalehollow/platform/store.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from dalehollow.aio import ClientConnection, ConnectError, CutError, connect
+from dalehollow.aio import ClientConnection, ConnectError, ResponseError, connect
 from dalehollow.errors import PlatformError
 from dalehollow.protocol.reports import Change
 from dalehollow.protocol.revisions import MAX_ERA, join_revision, read_era, read_number
@@ -247,10 +247,10 @@
                 response_start_s = clock()
                 self.era.take(answer.get(_ERA_HEADER))
                 try:
-                    answer_body = await self._connection.read_body_while_it_comes(limit)
+                    answer_body = await self._connection.read_body_with_timeout(limit)
                 finally:
                     self.transfer_s = clock() - response_start_s
-        except (ConnectError, CutError, TimeoutError) as exc:
+        except (ConnectError, ResponseError, TimeoutError) as exc:
             received_bytes = self._count_received() - received_before
             self.close()
             message = f"{path}: {str(exc) or 'timed out'} after {received_bytes} bytes"
--- a/dalehollow/sidecar/forward.py
+++ b/dalehollow/sidecar/forward.py
@@ -16,9 +16,9 @@
 from dalehollow.sidecar.call import InnerCall
 from dalehollow.sidecar.ownership import Ownership
 from dalehollow.telemetry.logs import log_event
-from dalehollow.verdict import Step, Verdict, judge_failure
+from dalehollow.verdict import Step, Verdict, assess_failure
 from dalehollow.web import Answer, CallError, HttpClient, HttpRequest, HttpResponse
-from dalehollow.web.client import AnswerCutError
+from dalehollow.web.client import TruncatedResponseError
 from dalehollow.web.refusal import make_refusal
 
 _RETRY_UNREACHABLE_MS = 1_000
@@ -79,7 +79,7 @@
         if isinstance(begun, Err):
             return begun
         answer, began_s = begun.ok_value
-        if answer.is_whole():
+        if answer.can_be_buffered():
             return self._read_whole(call, answer, began_s).map(self._respond_whole)
         headers = self._answer_headers(answer)
         return Ok(HttpResponse(answer.status, headers, self._relay(answer, began_s)))
@@ -120,8 +120,8 @@
     ) -> Result[KeptAnswer, Failure]:
         try:
             body = answer.read()
-        except AnswerCutError:
-            ruling = judge_failure(Step.RELAY_ANSWER, repeatable=call.repeatable)
+        except TruncatedResponseError:
+            ruling = assess_failure(Step.RELAY_ANSWER, repeatable=call.repeatable)
             message = "the upstream's answer was cut short"
             return Err(
                 Failure(Reason.UPSTREAM_FAILED, ruling.verdict, message, may_retry=ruling.may_retry)
@@ -141,7 +141,7 @@
 
     def _judge_call(self, call: InnerCall, error: CallError) -> Failure:
         step = Step.AWAIT_ANSWER if error.sent else Step.CONNECT_UPSTREAM
-        ruling = judge_failure(step, repeatable=call.repeatable)
+        ruling = assess_failure(step, repeatable=call.repeatable)
         reason = Reason.UPSTREAM_FAILED if error.sent else Reason.UPSTREAM_UNREACHABLE
         log_event(
             _log,
--- a/dalehollow/sidecar/process.py
+++ b/dalehollow/sidecar/process.py
@@ -72,7 +72,7 @@
             upstream=self.upstream,
             upstream_http=settings.upstream_http,
             client=HttpClient(
-                connect_timeout_s=settings.connect_timeout_ms / _MS_PER_S, keeps=False
+                connect_timeout_s=settings.connect_timeout_ms / _MS_PER_S, keep_alive=False
             ),
             gate=self.gate,
             ownership=self.ownership,
--- a/dalehollow/telemetry/logs.py
+++ b/dalehollow/telemetry/logs.py
@@ -77,12 +77,12 @@
         self._rest = b""
         self.left_out = 0
         self._unreported = 0
-        self.resize(lines_per_s)
+        self.set_rate(lines_per_s)
         mode = os.fstat(fd).st_mode
         if stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode):
             fcntl.fcntl(fd, fcntl.F_SETFL, fcntl.fcntl(fd, fcntl.F_GETFL) | os.O_NONBLOCK)
 
-    def resize(self, lines_per_s: float) -> None:
+    def set_rate(self, lines_per_s: float) -> None:
         """Change the maximum rate of lines."""
         self._ordinary_bucket = _TokenBucket(lines_per_s)
         self._warning_bucket = _TokenBucket(max(1.0, lines_per_s * _WARNING_SHARE))
--- a/dalehollow/verdict.py
+++ b/dalehollow/verdict.py
@@ -47,7 +47,9 @@
 _NO_RETRY_STEPS = frozenset({Step.ADMIT, Step.CHOOSE})
 
 
-def judge_failure(step: Step, *, repeatable: bool, answer_begun: bool = False) -> FailureAssessment:
+def assess_failure(
+    step: Step, *, repeatable: bool, answer_begun: bool = False
+) -> FailureAssessment:
     """Decide on a failure by the step at which it occurred.
 
     `repeatable` is the operation's setting in the configuration. `answer_begun` is True if a byte
--- a/dalehollow/web/client.py
+++ b/dalehollow/web/client.py
@@ -30,7 +30,7 @@
     message: str
 
 
-class AnswerCutError(ConnectionError):
+class TruncatedResponseError(ConnectionError):
     """Report a truncated response: the body ended before its framing says it does."""
 
 
@@ -50,30 +50,30 @@
         """Return all headers except the hop-by-hop ones."""
         return {k: v for k, v in self.headers.items() if k not in _HOP_HEADERS}
 
-    def is_whole(self) -> bool:
+    def can_be_buffered(self) -> bool:
         """Return whether the body has a known length and is small enough to be buffered."""
         length = self.headers.get("content-length", "")
         return length.isdigit() and int(length) <= MAX_BUFFERED_BODY_BYTES
 
     def read(self) -> bytes:
-        """Read the whole body; raise AnswerCutError if it is truncated."""
+        """Read the whole body; raise TruncatedResponseError if it is truncated."""
         try:
             data = self._response.read()
         except (HTTPError, OSError) as exc:
             self.close()
-            raise AnswerCutError(str(exc)) from exc
+            raise TruncatedResponseError(str(exc)) from exc
         self._release()
         return data
 
     def stream(self) -> Iterator[bytes]:
-        """Yield data as soon as it arrives; raise AnswerCutError if the body is truncated."""
+        """Yield data as soon as it arrives; raise TruncatedResponseError if truncated."""
         is_complete = False
         try:
             while chunk := self._response.read1(READ_CHUNK_BYTES):
                 yield chunk
             is_complete = True
         except (HTTPError, OSError) as exc:
-            raise AnswerCutError(str(exc)) from exc
+            raise TruncatedResponseError(str(exc)) from exc
         finally:
             if is_complete:
                 self._release()
@@ -104,11 +104,11 @@
     """
 
     def __init__(
-        self, *, connect_timeout_s: float, max_connections: int = 512, keeps: bool = True
+        self, *, connect_timeout_s: float, max_connections: int = 512, keep_alive: bool = True
     ) -> None:
         """Create the connection pools; `connect_timeout_s` bounds each connection attempt."""
         self._connect_timeout_s = connect_timeout_s
-        self._keeps = keeps
+        self._keep_alive = keep_alive
         self._pools = urllib3.PoolManager(num_pools=256, maxsize=max_connections, block=False)
 
     def call(
@@ -128,7 +128,7 @@
         host, _, port = address.rpartition(":")
         pool = (
             self._pools.connection_from_host(host, int(port))
-            if self._keeps
+            if self._keep_alive
             else urllib3.HTTPConnectionPool(host, int(port), maxsize=1)
         )
         try:
@@ -152,7 +152,7 @@
             return Err(CallError(sent=True, timed_out=True, message=str(exc)))
         except (HTTPError, OSError) as exc:
             return Err(CallError(sent=True, timed_out=False, message=str(exc)))
-        return Ok(Answer(response, None if self._keeps else pool))
+        return Ok(Answer(response, None if self._keep_alive else pool))
 
     def close(self) -> None:
         """Close idle pooled connections."""
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from dalehollow.aio import ClientConnection, ConnectError, CutError, connect
+from dalehollow.aio import ClientConnection, ConnectError, ResponseError, connect
 from soak.promises import OK, Asked
 from soak.world import HOST, KEY, Gateway, World
 
@@ -87,7 +87,7 @@
                 while (piece := await connection.read_piece()) is not None:
                     body.append(piece)
                 is_whole = True
-        except (CutError, TimeoutError):
+        except (ResponseError, TimeoutError):
             # What came so far says how it ended; the ledger judges it.
             pass
         return Asked(
--- a/standins/metadata.py
+++ b/standins/metadata.py
@@ -75,15 +75,15 @@
             self.unheard.append(request.target.decode())
             await asyncio.Event().wait()
         if self.fault == "busy":
-            caller.send_whole(503, self._list_headers(), b"")
+            caller.send_response(503, self._list_headers(), b"")
             return
         query = {k: v[0] for k, v in parse_qs(query_text, keep_blank_values=True).items()}
         body = msgspec.json.decode(request.body) if request.body else {}
         status, answer = await self._answer(request.method, path, query, body)
         if self.fault == "lost":
-            caller.cut()
+            caller.abort()
             return
-        caller.send_whole(status, self._list_headers(), msgspec.json.encode(answer))
+        caller.send_response(status, self._list_headers(), msgspec.json.encode(answer))
 
     def put(self, key: str, value: bytes, lease: int = 0) -> None:
         """Write an item as the operator or a server would."""
--- a/standins/server.py
+++ b/standins/server.py
@@ -73,7 +73,7 @@
     def crash(self) -> None:
         """Cut off all that is in hand; whoever starts it again is told."""
         for caller in list(self._in_hand):
-            caller.cut()
+            caller.abort()
         self.on_crash()
 
     async def _answer(self, caller: CallerConnection, request: CallerRequest) -> None:
@@ -86,13 +86,13 @@
         head = [(b"x-request-id", request_id.encode()), (b"x-response-seal", b"seal"), *self.says]
         if way is Way.OTHER_SERVER:
             named = (b"x-instance-id", self.incarnation.encode())
-            caller.send_whole(421, [named, *self.says], b"")
+            caller.send_response(421, [named, *self.says], b"")
             return
         if way in (Way.REFUSE, Way.REFUSE_BROKEN):
             refused = [(b"x-not-executed", b"1"), *self.says]
             if way is Way.REFUSE_BROKEN:
                 refused.append((b"at-server", b"another"))
-            caller.send_whole(503, refused, b"")
+            caller.send_response(503, refused, b"")
             return
         self.runs.append(request_id)
         if self.crashed_by and request.body == self.crashed_by:
@@ -105,9 +105,9 @@
                 self.cancelled.append(request_id)
                 self.left.set()
         if way is Way.CUT_UNANSWERED:
-            caller.cut()
+            caller.abort()
         elif way is Way.ERROR:
-            caller.send_whole(500, head, b"failed")
+            caller.send_response(500, head, b"failed")
         elif b"stream" in request.target:
             await self._stream(caller, request, head, way)
         else:
@@ -119,19 +119,19 @@
         await asyncio.sleep(self.pace_s)
         if way is Way.OTHERS_ANSWER_FIRST:
             other = [(b"x-request-id", b"other"), (b"x-response-seal", b"other")]
-            caller.send_whole(200, other, b"another caller's")
+            caller.send_response(200, other, b"another caller's")
         if way is Way.OTHERS_REFUSAL_FIRST:
             refused = [(b"x-request-id", b"other"), (b"x-not-executed", b"1"), *self.says]
-            caller.send_whole(503, refused, b"")
+            caller.send_response(503, refused, b"")
             head = head[:2]
         if way is Way.CUT_BODY:
             caller.begin_stream(200, head, length=100)
             await caller.send_piece(b"half")
-            caller.cut()
+            caller.abort()
             return
-        caller.send_whole(200, head, b"whole answer")
+        caller.send_response(200, head, b"whole answer")
         if way is Way.SURPLUS:
-            caller.send_whole(200, head, b"once more")
+            caller.send_response(200, head, b"once more")
 
     async def _stream(
         self,
@@ -146,7 +146,7 @@
         for number in range(first, EVENTS + 1):
             if way is Way.CUT_IN_EVENT and number == first + 2:
                 await caller.send_piece(make_event(number)[:9])
-                caller.cut()
+                caller.abort()
                 return
             await asyncio.sleep(self.pace_s)
             await caller.send_piece(make_event(number))
--- a/tests/gateway_bench.py
+++ b/tests/gateway_bench.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from dalehollow.aio import AnswerHead, ClientConnection, CutError, connect
-from dalehollow.clock import ClockLoop
+from dalehollow.aio import ClientConnection, ResponseError, ResponseHead, connect
+from dalehollow.clock import BootTimeEventLoop
 from dalehollow.gateway.listed import ListedUpstream
 from dalehollow.gateway.process import Gateway
 from dalehollow.gateway.settings import GatewaySettings
@@ -30,7 +30,7 @@
     """Hold what a caller got; `is_whole` is False for an answer that was cut."""
 
     status: int
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
     is_whole: bool
 
@@ -193,7 +193,7 @@
     try:
         while (piece := await connection.read_piece()) is not None:
             pieces.append(piece)
-    except CutError:
+    except ResponseError:
         return Answer(head.status, head, b"".join(pieces), False)
     return Answer(head.status, head, b"".join(pieces), True)
 
@@ -242,7 +242,7 @@
         finally:
             running.cancel()
 
-    with asyncio.Runner(loop_factory=ClockLoop) as runner:
+    with asyncio.Runner(loop_factory=BootTimeEventLoop) as runner:
         runner.run(run())
 
 
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -20,7 +20,7 @@
 import msgspec
 import pytest
 
-from dalehollow.aio import AnswerHead, CallerRequest, ConnectError, CutError, Handler
+from dalehollow.aio import CallerRequest, ConnectError, Handler, ResponseError, ResponseHead
 from dalehollow.aio.client import ClientConnection
 from dalehollow.aio.headers import Headers
 from dalehollow.gateway.copies import StoreCopies
@@ -68,11 +68,13 @@
 
     connection: _Connection
 
-    def send_whole(self, status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes) -> None:
+    def send_response(
+        self, status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes
+    ) -> None:
         self.connection.answer(int(status), tuple(headers), body)
 
-    def cut(self) -> None:
-        self.connection.fail(CutError("the server closed the connection"))
+    def abort(self) -> None:
+        self.connection.fail(ResponseError("the server closed the connection"))
 
 
 class _Connection(ClientConnection):
@@ -94,9 +96,9 @@
         request = CallerRequest(method, target, (), body, asyncio.get_running_loop().time())
         self._run(self._ask(request))
 
-    async def read_head(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         item = await self._next()
-        assert isinstance(item, AnswerHead)
+        assert isinstance(item, ResponseHead)
         return item
 
     async def read_piece(self) -> bytes | None:
@@ -129,7 +131,7 @@
         await asyncio.sleep(DELAY_S + (self._gateway.slowness_s if self._is_to_store else 0.0))
         if self.is_silent:
             return
-        self._put(AnswerHead(status, headers))
+        self._put(ResponseHead(status, headers))
         for start in range(0, len(body), PIECE_BYTES):
             piece = body[start : start + PIECE_BYTES]
             await asyncio.sleep(len(piece) / self._gateway.bytes_per_s)
@@ -142,11 +144,11 @@
     def _run(self, work: Any) -> None:
         self._tasks.append(asyncio.ensure_future(work))
 
-    def _put(self, item: AnswerHead | bytes | Exception | None) -> None:
+    def _put(self, item: ResponseHead | bytes | Exception | None) -> None:
         self._items.append(item)
         self._arrived.set()
 
-    async def _next(self) -> AnswerHead | bytes | None:
+    async def _next(self) -> ResponseHead | bytes | None:
         while not self._items:
             self._arrived.clear()
             await self._arrived.wait()
--- a/tests/payment_bench.py
+++ b/tests/payment_bench.py
@@ -22,7 +22,7 @@
 from dalehollow.web import HttpClient
 from standins.hall import digest_key, wait_for_version
 from standins.processes import Launcher, Running
-from tests.relay import Relay
+from tests.relay import TcpProxy
 
 KEY = "demo-key-colombo"
 DEADLINE_MS = 1_500
@@ -78,8 +78,8 @@
     plain: dict[str, Running] = field(default_factory=dict)
     sidecars: dict[str, Running] = field(default_factory=dict)
     entries: list[Running] = field(default_factory=list)
-    to_sidecar: Relay = field(init=False)
-    to_upstream: Relay = field(init=False)
+    to_sidecar: TcpProxy = field(init=False)
+    to_upstream: TcpProxy = field(init=False)
     # So long that no change of owners comes into force while the matrix runs.
     horizon_ms: int = 3_600_000
 
@@ -87,7 +87,7 @@
         self.platform = self.launcher.start_standin("platform", "keyvalue")
         for name in ("gate-1", "gate-2"):
             self.plain[name] = self.launcher.start_standin(name, "plain")
-        self.to_upstream = Relay(self.plain["gate-1"].http)
+        self.to_upstream = TcpProxy(self.plain["gate-1"].http)
         self._start_first_sidecar()
         self.sidecars["gate-2"] = self._start_sidecar("gate-2", self.plain["gate-2"].http)
         self.entries = [self._start_entry(idx) for idx in range(2)]
@@ -95,7 +95,7 @@
 
     def _start_first_sidecar(self) -> None:
         # The relay's address is what the configuration lists, so it must be known first.
-        self.to_sidecar = Relay("127.0.0.1:1")
+        self.to_sidecar = TcpProxy("127.0.0.1:1")
         self.sidecars["gate-1"] = self._start_sidecar(
             "gate-1",
             self.to_upstream.address,
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -9,16 +9,16 @@
 CHUNK_BYTES = 65536
 
 
-class Relay:
+class TcpProxy:
     """Forward bytes to a target; `mode` applies to each chunk of data received.
 
-    `reached` is set when a chunk is held back.
+    `data_held` is set when a chunk is held back.
     """
 
     def __init__(self, target: str) -> None:
         self.target = target
         self.mode = "pass"
-        self.reached = threading.Event()
+        self.data_held = threading.Event()
         self._release = threading.Event()
         self._drop_held = False
         self._sockets: list[socket.socket] = []
@@ -33,7 +33,7 @@
 
     def set_mode(self, mode: str) -> None:
         """Set the mode: pass, refuse, hold_request, hold_answer or hold_half_answer."""
-        self.reached.clear()
+        self.data_held.clear()
         self._release.clear()
         self._drop_held = False
         self.mode = mode
@@ -113,6 +113,6 @@
             data = data[half:]
         elif mode != f"hold_{direction}":
             return data
-        self.reached.set()
+        self.data_held.set()
         self._release.wait(60)
         return b"" if self._drop_held else data
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -108,7 +108,7 @@
 def _hold_at_send_sidecar(bench: PaymentBench, payment: Payment) -> None:
     bench.to_sidecar.set_mode("hold_request")
     _send_first(bench, payment)
-    wait_for(bench.to_sidecar.reached.is_set, "request held before the sidecar")
+    wait_for(bench.to_sidecar.data_held.is_set, "request held before the sidecar")
 
 
 def _hold_at_queue(bench: PaymentBench, payment: Payment) -> None:
@@ -131,7 +131,7 @@
 def _hold_at_send_upstream(bench: PaymentBench, payment: Payment) -> None:
     bench.to_upstream.set_mode("hold_request")
     _send_first(bench, payment)
-    wait_for(bench.to_upstream.reached.is_set, "request held before the upstream")
+    wait_for(bench.to_upstream.data_held.is_set, "request held before the upstream")
 
 
 def _hold_at_await_answer(bench: PaymentBench, payment: Payment) -> None:
@@ -143,7 +143,7 @@
 def _hold_at_relay_answer(bench: PaymentBench, payment: Payment) -> None:
     bench.to_upstream.set_mode("hold_half_answer")
     _send_first(bench, payment)
-    wait_for(bench.to_upstream.reached.is_set, "half of the answer relayed")
+    wait_for(bench.to_upstream.data_held.is_set, "half of the answer relayed")
 
 
 HOLDS: dict[Step, Callable[[PaymentBench, Payment], None]] = {
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -205,7 +205,7 @@
 @pytest.mark.parametrize("status", [404, 503])
 def test_error_status_fails_the_fetch(status: int) -> None:
     async def refuse(caller: CallerConnection, request: CallerRequest) -> None:
-        caller.send_whole(status, [], b"")
+        caller.send_response(status, [], b"")
 
     async def main() -> None:
         address = await listen(refuse)
@@ -226,7 +226,7 @@
 @pytest.mark.parametrize("sent", UNREADABLE)
 def test_unreadable_response_is_ignored(sent: bytes) -> None:
     async def send_unreadable(caller: CallerConnection, request: CallerRequest) -> None:
-        caller.send_whole(200, [], sent)
+        caller.send_response(200, [], sent)
 
     async def main() -> None:
         receiver = _make_gateway(3)
--- a/tests/test_cut_halls.py
+++ b/tests/test_cut_halls.py
@@ -23,7 +23,7 @@
 from standins.keyvalue import KeyValueStandIn
 from standins.plain import PlainStandIn
 from tests.payment_bench import make_dated_key, wait_for
-from tests.relay import Relay
+from tests.relay import TcpProxy
 
 HALLS = ("cmb-a", "ngb")
 FAST = {"leave_ms": 0, "poll_min_ms": 50, "poll_max_ms": 150, "beat_interval_ms": 100}
@@ -35,9 +35,9 @@
     """Hold a hall: its service, sidecar, entry and the relays to them and to the platform."""
 
     service: PlainStandIn
-    to_platform: Relay
-    to_sidecar: Relay
-    to_control: Relay
+    to_platform: TcpProxy
+    to_sidecar: TcpProxy
+    to_control: TcpProxy
     sidecar: Sidecar
     entry: EntryProcess
 
@@ -67,7 +67,7 @@
 
     def _start_hall(self, name: str, platform: str) -> Hall:
         service = PlainStandIn()
-        to_platform, to_sidecar = Relay(platform), Relay("127.0.0.1:1")
+        to_platform, to_sidecar = TcpProxy(platform), TcpProxy("127.0.0.1:1")
         common = {"hall": name, "platform": to_platform.address, **FAST}
         sidecar = Sidecar(
             Settings(
@@ -83,7 +83,7 @@
         entry = EntryProcess(Settings(role="entry", name=f"e-{name}", **common))  # type: ignore[arg-type]
         sidecar.start()
         entry.start()
-        to_control = Relay(sidecar.control.address)
+        to_control = TcpProxy(sidecar.control.address)
         return Hall(service, to_platform, to_sidecar, to_control, sidecar, entry)
 
     def _config(self) -> dict[str, object]:
--- a/tests/test_jsonc.py
+++ b/tests/test_jsonc.py
@@ -18,7 +18,15 @@
 def test_values_and_lines() -> None:
     value, lines = parse_jsonc(TEXT)
     assert value == {"a": 1, "b": {"c": [10, {"d": "x // no comment"}]}}
-    assert lines.of == {"": 1, "a": 3, "b": 4, "b.c": 4, "b.c[0]": 4, "b.c[1]": 5, "b.c[1].d": 5}
+    assert lines.by_path == {
+        "": 1,
+        "a": 3,
+        "b": 4,
+        "b.c": 4,
+        "b.c[0]": 4,
+        "b.c[1]": 5,
+        "b.c[1].d": 5,
+    }
 
 
 @pytest.mark.parametrize(
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dalehollow.aio import AnswerHead
+from dalehollow.aio import ResponseHead
 from dalehollow.gateway.signals import MAX_BACKOFF_S, Signals, read_signals
 from dalehollow.platform.names import HEADERS
 
@@ -25,8 +25,8 @@
 )
 
 
-def _head(*lines: tuple[str, str], status: int = 503) -> AnswerHead:
-    return AnswerHead(status, tuple((name.encode(), value.encode()) for name, value in lines))
+def _head(*lines: tuple[str, str], status: int = 503) -> ResponseHead:
+    return ResponseHead(status, tuple((name.encode(), value.encode()) for name, value in lines))
 
 
 @pytest.mark.parametrize("value", UNUSABLE)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -24,7 +24,7 @@
 from tests.config_text import make_text
 from tests.fake_keyvalue import FakeKeyValue
 from tests.payment_bench import wait_for
-from tests.relay import Relay
+from tests.relay import TcpProxy
 
 HALLS = ("cmb-a", "ngb")
 FAST_SETTINGS = {"leave_ms": 0, "poll_min_ms": 50, "poll_max_ms": 150, "beat_interval_ms": 50}
@@ -35,9 +35,9 @@
     """Hold a hall's processes, its relay to the platform and the relay to its sidecar."""
 
     name: str
-    to_platform: Relay
+    to_platform: TcpProxy
     sidecar: Sidecar
-    to_control: Relay
+    to_control: TcpProxy
     entry: EntryProcess
 
 
@@ -58,7 +58,7 @@
             self.halls[name] = self._start_hall(name)
 
     def _start_hall(self, name: str) -> Hall:
-        relay = Relay(self.server.address)
+        relay = TcpProxy(self.server.address)
         sidecar = self.start_sidecar(f"up-{name}", name, relay.address, ())
         entry = EntryProcess(
             Settings(
@@ -72,7 +72,7 @@
         )
         self._follow(entry.settings.name, entry)
         entry.start()
-        return Hall(name, relay, sidecar, Relay(sidecar.control.address), entry)
+        return Hall(name, relay, sidecar, TcpProxy(sidecar.control.address), entry)
 
     def start_sidecar(
         self, upstream: str, hall: str, platform: str | None, peers: tuple[str, ...]
--- a/tests/test_suspended_vm.py
+++ b/tests/test_suspended_vm.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from dalehollow.clock import ClockLoop
+from dalehollow.clock import BootTimeEventLoop
 from dalehollow.gateway.listed import Member
 from dalehollow.groups.duty import Duty
 from dalehollow.platform.session import Session
@@ -56,7 +56,7 @@
         async with asyncio.timeout(TIMEOUT_S):
             await run()
 
-    with asyncio.Runner(loop_factory=ClockLoop) as runner:
+    with asyncio.Runner(loop_factory=BootTimeEventLoop) as runner:
         runner.run(run_bounded())
 
 
--- a/tests/test_verdict.py
+++ b/tests/test_verdict.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dalehollow.verdict import FailureAssessment, Step, Verdict, judge_failure
+from dalehollow.verdict import FailureAssessment, Step, Verdict, assess_failure
 
 NOT_RUN, MAY, RAN = Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN, Verdict.RAN
 
@@ -29,10 +29,10 @@
 @pytest.mark.parametrize("step", Step)
 def test_table(step: Step) -> None:
     verdict, if_repeatable, if_not_repeatable = TABLE[step]
-    assert judge_failure(step, repeatable=True) == FailureAssessment(verdict, if_repeatable)
-    assert judge_failure(step, repeatable=False) == FailureAssessment(verdict, if_not_repeatable)
+    assert assess_failure(step, repeatable=True) == FailureAssessment(verdict, if_repeatable)
+    assert assess_failure(step, repeatable=False) == FailureAssessment(verdict, if_not_repeatable)
 
 
 @pytest.mark.parametrize("step", Step)
 def test_no_retry_after_the_response_has_begun(step: Step) -> None:
-    assert judge_failure(step, repeatable=True, answer_begun=True) == FailureAssessment(RAN, False)
+    assert assess_failure(step, repeatable=True, answer_begun=True) == FailureAssessment(RAN, False)
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -11,7 +11,7 @@
 import pytest
 
 from dalehollow.web import HttpClient, HttpRequest, HttpResponse, HttpServer
-from dalehollow.web.client import AnswerCutError
+from dalehollow.web.client import TruncatedResponseError
 from dalehollow.web.server import _is_socket_open
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
@@ -135,7 +135,7 @@
     _, address = echo
     answer = HttpClient(connect_timeout_s=1).call("GET", address, path, timeout_s=5).unwrap()
     assert answer.status == 200
-    with pytest.raises(AnswerCutError):
+    with pytest.raises(TruncatedResponseError):
         list(answer.stream())
 
 
