--- a/dalehollow/aio/caller.py
+++ b/dalehollow/aio/caller.py
@@ -25,7 +25,7 @@
 class Limits:
     """Limit the size of requests, the time to receive one, and how long a connection may idle.
 
-    Changed limits apply to open connections as well.
+    Changed sizes apply at once, changed times from the next request of a connection on.
     """
 
     max_header_bytes: int
