--- a/dalehollow/aio/__init__.py
+++ b/dalehollow/aio/__init__.py
@@ -1,24 +1,24 @@
-"""Speak HTTP/1.1 over asyncio with httptools: many streams in one small process."""
+"""Serve and call HTTP/1.1 over asyncio with httptools: many streams in one small process."""
 
 from __future__ import annotations
 
 from dalehollow.aio.caller import CallerConnection, CallerRequest, Handler, Limits
 from dalehollow.aio.client import (
-    AnswerHead,
     ClientConnection,
     ConnectError,
-    CutError,
+    ResponseError,
+    ResponseHead,
     connect,
 )
 
 __all__ = [
-    "AnswerHead",
     "CallerConnection",
     "CallerRequest",
     "ClientConnection",
     "ConnectError",
-    "CutError",
     "Handler",
     "Limits",
+    "ResponseError",
+    "ResponseHead",
     "connect",
 ]
--- a/dalehollow/config/check.py
+++ b/dalehollow/config/check.py
@@ -38,7 +38,7 @@
         raw, lines = parse_jsonc(text)
     except JsoncError as exc:
         return Err((ConfigIssue(exc.line, "", f"is not valid JSON with comments: {exc}"),))
-    collector = IssueCollector(lines.of)
+    collector = IssueCollector(lines.by_path)
     cfg = _read_config(collector, raw)
     return Err(tuple(collector.issues)) if collector.issues else Ok(cfg)
 
--- a/tests/test_jsonc.py
+++ b/tests/test_jsonc.py
@@ -1,4 +1,4 @@
-"""Test reading JSON with comments and finding lines."""
+"""Test parsing JSON with comments and locating lines."""
 
 from __future__ import annotations
 
@@ -18,7 +18,15 @@
 def test_values_and_lines() -> None:
     value, lines = parse_jsonc(TEXT)
     assert value == {"a": 1, "b": {"c": [10, {"d": "x // no comment"}]}}
-    assert lines.of == {"": 1, "a": 3, "b": 4, "b.c": 4, "b.c[0]": 4, "b.c[1]": 5, "b.c[1].d": 5}
+    assert lines.by_path == {
+        "": 1,
+        "a": 3,
+        "b": 4,
+        "b.c": 4,
+        "b.c[0]": 4,
+        "b.c[1]": 5,
+        "b.c[1].d": 5,
+    }
 
 
 @pytest.mark.parametrize(
@@ -32,11 +40,11 @@
         ("{}\n\nx", 1, "Extra data"),
     ],
 )
-def test_mistake(text: str, line: int, message: str) -> None:
+def test_invalid_text(text: str, line: int, message: str) -> None:
     with pytest.raises(JsoncError, match=message) as caught:
         parse_jsonc(text)
     assert caught.value.line == line
 
 
-def test_same_key_in_different_places_is_no_repeat() -> None:
+def test_same_key_in_different_objects_is_not_repeated() -> None:
     assert not find_lines("{a: {x: 1}, b: {x: 1}, c: [{x: 1}, {x: 1}]}").repeated
