--- a/tests/gateway_bench.py
+++ b/tests/gateway_bench.py
@@ -1,4 +1,4 @@
-"""Run a gateway, a store and servers in one event loop, and send requests to them."""
+"""Test bench with a gateway, a metadata store and servers in one event loop."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from standins.server import ServerStandIn
 
 TIMEOUT_S = 20.0
-"""Bound of a whole test; none is expected to come near it."""
+"""Timeout of a whole test; no test is expected to come near it."""
 KEY = "key-of-ana"
 HOST = "floor.example"
 
 
 @dataclass(frozen=True)
 class Answer:
-    """Hold what a caller got; `is_whole` is False for an answer that was cut."""
+    """Answer as received by a caller; `is_whole` is False if it was cut off."""
 
     status: int
     head: AnswerHead
@@ -36,7 +36,7 @@
 
 
 def make_config(version: int = 1, **changes: object) -> dict[str, object]:
-    """Return a configuration with a plain, a stream and a payment route."""
+    """Return a configuration with a safe, an unsafe, a streaming and a public route."""
     route = {"host": HOST, "service": "desk", "timeoutMs": 5000, "targetLatencyMs": 400}
     routes = [
         {**route, "name": "read", "pathPrefix": "/read/", "kind": "safe", "maxAttempts": 2},
@@ -68,7 +68,7 @@
 
 @dataclass
 class GatewayBench:
-    """Hold what runs; use `run_bench` to make one."""
+    """Running gateway, store and servers; created by `run_bench`."""
 
     store: MetadataStandIn
     store_address: str
@@ -79,7 +79,7 @@
     _ids: Iterator[int] = field(default_factory=lambda: itertools.count(1))
 
     async def add_server(self, incarnation: str, *ways: object, slots: int = 4) -> ServerStandIn:
-        """Start a server, list it, and wait until the gateway knows it."""
+        """Start a server, list it in the store and wait until the gateway knows it."""
         server = ServerStandIn(incarnation, list(ways))  # type: ignore[arg-type]
         address = await listen(server.handle)
         self.servers[incarnation] = server
@@ -88,7 +88,7 @@
         return server
 
     def list_server(self, incarnation: str, address: str, **changes: object) -> None:
-        """Write a server's entry."""
+        """Write a server's entry to the store."""
         entry = {
             "service": "desk",
             "address": address,
@@ -101,34 +101,34 @@
         self.store.put(f"servers/{incarnation}", msgspec.json.encode(entry))
 
     def read_entry(self, incarnation: str) -> dict[str, object]:
-        """Return a server's entry as it stands in the store."""
+        """Return a server's entry as stored."""
         value = self.store.items[f"servers/{incarnation}"].value
         entry: dict[str, object] = msgspec.json.decode(value)
         return entry
 
     def listed(self, incarnation: str) -> ListedUpstream:
-        """Return what the gateway knows of a server by the list."""
+        """Return the entry of a server that the gateway has read."""
         listed = self.gateway.state.upstreams.find(incarnation)
         assert listed is not None
         return listed
 
     async def apply(self, config: Mapping[str, object]) -> None:
-        """Put a configuration into the store and wait until it is in force."""
+        """Store a configuration and wait until it is in force at the gateway."""
         self.store.put("op/config", msgspec.json.encode(config))
         await self.until(lambda: self.version() == config["version"])
 
     def version(self) -> int | None:
-        """Return the version in force."""
+        """Return the configuration version in force at the gateway."""
         table = self.gateway.state.table
         return table.version if table is not None else None
 
     async def until(self, is_so: Callable[[], bool]) -> None:
-        """Wait for something that the gateway will come to."""
+        """Wait until a condition holds."""
         while not is_so():
             await asyncio.sleep(0.001)
 
     async def connect(self) -> ClientConnection:
-        """Open a caller's connection."""
+        """Open a connection to the gateway."""
         return await connect(self.gateway.http, TIMEOUT_S)
 
     async def ask(
@@ -141,13 +141,13 @@
         key: str | None = KEY,
         body: bytes = b"",
     ) -> Answer:
-        """Send one request and return what came."""
+        """Send a request and return its answer."""
         connection = connection or await self.connect()
         connection.send([make_request(path, next(self._ids), headers, left_ms, key, body)])
         return await read_answer(connection)
 
     async def is_ready(self) -> bool:
-        """Ask as the balancer does."""
+        """Return the readiness that the gateway reports to its load balancer."""
         connection = await connect(self.gateway.ready, TIMEOUT_S)
         connection.send([b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"])
         head = await connection.read_head()
@@ -156,13 +156,13 @@
 
 
 async def say_ready_again(bench: GatewayBench) -> None:
-    """Have the entry of s0 written anew."""
+    """Rewrite the entry of s0 as ready and wait until the gateway has read it."""
     bench.list_server("s0", str(bench.read_entry("s0")["address"]), sequence=2, slots=3)
     await bench.until(lambda: bench.listed("s0").slots == 3)
 
 
 async def lapse_and_return(bench: GatewayBench) -> None:
-    """Have the entry of s0 go and come again."""
+    """Delete the entry of s0 and write it again, waiting for the gateway each time."""
     address = str(bench.read_entry("s0")["address"])
     bench.store.delete("servers/s0")
     await bench.until(lambda: bench.gateway.state.upstreams.find("s0") is None)
@@ -178,7 +178,7 @@
     key: str | None = KEY,
     body: bytes = b"",
 ) -> bytes:
-    """Return a caller's request as it is sent."""
+    """Return the bytes of a caller's request."""
     lines = [f"POST {path} HTTP/1.1", f"Host: {HOST}", f"X-Request-Id: r{number}"]
     lines += [f"X-Deadline-Ms: {left_ms}", f"Content-Length: {len(body)}"]
     lines += [f"X-Key: {key}"] if key is not None else []
@@ -187,7 +187,7 @@
 
 
 async def read_answer(connection: ClientConnection) -> Answer:
-    """Read an answer to its end, or to where it is cut."""
+    """Read an answer to its end or to where it is cut off."""
     head = await connection.read_head()
     pieces: list[bytes] = []
     try:
@@ -198,18 +198,18 @@
     return Answer(head.status, head, b"".join(pieces), True)
 
 
-PATIENT_CONNECT_MS = 5_000
-"""All parts share one process, which may get no turn for longer than a connection usually takes."""
+CONNECT_TIMEOUT_MS = 5_000
+"""All components share one process, which may get no CPU for longer than a connect usually takes."""
 
 
 async def start_gateway(
     store_address: str, name: str = "gw-1", *, uptime_s: float = 3600.0, **changes: object
 ) -> Gateway:
-    """Start a gateway in this event loop; the caller runs it.
+    """Create a gateway in this event loop, without running it.
 
     Its retry budgets are those of a process that started `uptime_s` ago.
     """
-    changes.setdefault("connect_timeout_ms", PATIENT_CONNECT_MS)
+    changes.setdefault("connect_timeout_ms", CONNECT_TIMEOUT_MS)
     settings = GatewaySettings(
         role="gateway",
         name=name,
@@ -226,7 +226,7 @@
 
 
 def run_bench(scenario: Callable[[GatewayBench], Awaitable[None]], **changes: object) -> None:
-    """Run a scenario against one gateway, its store and no servers yet."""
+    """Run a scenario against a gateway and its store, at first without servers."""
 
     async def run() -> None:
         store = MetadataStandIn()
@@ -248,7 +248,7 @@
 
 @contextmanager
 def replaced(owner: object, name: str, value: object) -> Iterator[None]:
-    """Set an attribute for a while, such as a constant that would make a test slow."""
+    """Set an attribute temporarily, such as a constant that would make a test slow."""
     before = getattr(owner, name)
     setattr(owner, name, value)
     try:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Send requests through a gateway to servers that fail in every way, and check what comes."""
+"""Test requests through a gateway to servers with each kind of failure."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 )
 
 
-async def _with_servers(bench: GatewayBench, *first_ways: Way) -> None:
+async def _start_server(bench: GatewayBench, *ways: Way) -> None:
     await bench.apply(make_config())
-    await bench.add_server("s1", *first_ways)
+    await bench.add_server("s1", *ways)
 
 
-def test_not_ready_and_refusing_before_a_configuration() -> None:
+def test_without_configuration_is_not_ready_and_answers_503() -> None:
     async def scenario(bench: GatewayBench) -> None:
         assert not await bench.is_ready()
         answer = await bench.ask("/read/1")
@@ -48,15 +48,15 @@
 )
 def test_route_and_key_decide(path: str, key: str | None, status: int) -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench)
+        await _start_server(bench)
         assert (await bench.ask(path, key=key)).status == status
 
     run_bench(scenario)
 
 
-def test_a_key_that_is_taken_away_is_refused() -> None:
+def test_revoked_key_is_refused_on_open_connections() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench)
+        await _start_server(bench)
         connection = await bench.connect()
         assert (await bench.ask("/read/1", connection=connection)).status == 200
         await bench.apply(make_config(2, tenants=[{"name": "ana", "apiKeys": []}]))
@@ -65,9 +65,9 @@
     run_bench(scenario)
 
 
-def test_an_older_configuration_never_comes_back() -> None:
+def test_configuration_in_force_is_kept_when_the_stored_one_is_unreadable() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench)
+        await _start_server(bench)
         await bench.apply(make_config(7))
         bench.store.forget_history()
         bench.store.put("op/config", b'{"version": "unreadable"}')
@@ -79,10 +79,10 @@
     run_bench(scenario)
 
 
-def test_headers_that_the_system_sets_are_not_the_callers() -> None:
+def test_caller_cannot_set_internal_headers() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench)
-        forged = {
+        await _start_server(bench)
+        sent_headers = {
             "X-Tenant": "rival",
             "X-Expect-Instance": "s9",
             "X-Request-Priority": "0",
@@ -90,7 +90,9 @@
             "Connection": "X-Hop",
             "X-Hop": "dropped",
         }
-        assert (await bench.ask("/read/a%2Fb?q=%20", headers=forged, body=b"hand")).status == 200
+        assert (
+            await bench.ask("/read/a%2Fb?q=%20", headers=sent_headers, body=b"hand")
+        ).status == 200
         seen = bench.servers["s1"].seen[0]
         assert seen.method == b"POST"
         assert seen.target == b"/read/a%2Fb?q=%20"
@@ -120,11 +122,11 @@
         ("/read/1", Way.SURPLUS, 200, 1),
     ],
 )
-def test_tries_and_runs(path: str, way: Way, status: int, runs: int) -> None:
+def test_status_and_run_count_of_each_failure(path: str, way: Way, status: int, runs: int) -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, way)
+        await _start_server(bench, way)
         await bench.add_server("s2")
-        # The first choice is the server that fails.
+        # Makes the failing server the first choice.
         bench.gateway.state.upstreams.adjust_others("s2", 1)
         answer = await bench.ask(path)
         assert answer.status == status
@@ -137,9 +139,9 @@
 
 
 @pytest.mark.parametrize("way", [Way.REFUSE, Way.OTHER_SERVER])
-def test_a_refusal_is_true_and_says_when_to_come_back(way: Way) -> None:
+def test_refused_request_has_not_run_and_has_retry_after(way: Way) -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, way, way, way)
+        await _start_server(bench, way, way, way)
         answer = await bench.ask("/pay/1")
         assert answer.status == 503
         assert answer.head.get(b"retry-after") is not None
@@ -149,9 +151,9 @@
     run_bench(scenario)
 
 
-def test_a_second_rank_of_a_broken_group_is_not_tried() -> None:
+def test_broken_group_is_not_retried_at_another_rank() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, Way.REFUSE_BROKEN)
+        await _start_server(bench, Way.REFUSE_BROKEN)
         await bench.add_server("s2", Way.REFUSE_BROKEN)
         assert (await bench.ask("/stream/1")).status == 503
         assert sum(len(s.seen) for s in bench.servers.values()) == 1
@@ -159,23 +161,23 @@
     run_bench(scenario)
 
 
-def test_a_stream_that_breaks_goes_on_elsewhere() -> None:
+def test_interrupted_stream_resumes_at_another_server() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, Way.CUT_IN_EVENT)
+        await _start_server(bench, Way.CUT_IN_EVENT)
         await bench.add_server("s2", Way.CUT_IN_EVENT)
         await bench.add_server("s3")
         answer = await bench.ask("/stream/1")
         assert answer.is_whole
         assert answer.body == whole_stream()
-        resumed = [s.get(b"last-event-id") for x in bench.servers.values() for s in x.seen]
-        assert all(value in (None, b"2", b"4") for value in resumed)
+        resume_positions = [s.get(b"last-event-id") for x in bench.servers.values() for s in x.seen]
+        assert all(value in (None, b"2", b"4") for value in resume_positions)
 
     run_bench(scenario)
 
 
-def test_a_stream_that_cannot_go_on_is_cut_not_ended() -> None:
+def test_stream_that_cannot_resume_is_cut_off() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, Way.CUT_IN_EVENT)
+        await _start_server(bench, Way.CUT_IN_EVENT)
         answer = await bench.ask("/stream/1")
         assert answer.status == 200
         assert not answer.is_whole
@@ -184,34 +186,34 @@
     run_bench(scenario)
 
 
-def test_a_callers_own_position_is_passed_on() -> None:
+def test_last_event_id_of_the_caller_is_forwarded() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench)
+        await _start_server(bench)
         answer = await bench.ask("/stream/1", headers={"Last-Event-Id": str(EVENTS - 1)})
         assert answer.body == make_event(EVENTS)
 
     run_bench(scenario)
 
 
-def test_a_caller_that_leaves_cancels_its_run() -> None:
+def test_disconnect_of_the_caller_cancels_its_run() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, Way.HANG)
+        await _start_server(bench, Way.HANG)
         server = bench.servers["s1"]
         connection = await bench.connect()
-        asking = asyncio.ensure_future(bench.ask("/read/1", connection=connection))
+        request_task = asyncio.ensure_future(bench.ask("/read/1", connection=connection))
         await server.reached.wait()
         connection.abort()
         await server.left.wait()
         assert len(server.cancelled) == 1
-        asking.cancel()
+        request_task.cancel()
         await bench.until(lambda: not any(u.in_flight for u in bench.gateway.state.upstreams))
 
     run_bench(scenario)
 
 
-def test_a_route_s_time_ends_the_wait() -> None:
+def test_expired_deadline_is_answered_with_504() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, Way.HANG)
+        await _start_server(bench, Way.HANG)
         answer = await bench.ask("/read/1", left_ms=100)
         assert answer.status == 504
         assert answer.is_whole
@@ -219,9 +221,9 @@
     run_bench(scenario)
 
 
-def test_a_leaving_server_gets_no_new_request() -> None:
+def test_draining_server_gets_no_new_request() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench)
+        await _start_server(bench)
         await bench.add_server("s2")
         listed = bench.gateway.state.upstreams.find("s1")
         assert listed is not None
@@ -234,43 +236,43 @@
     run_bench(scenario)
 
 
-def test_a_planned_stop_closes_idle_connections_and_refuses_what_comes_late() -> None:
-    """Kept connections were served until the grace ended, in the middle of answers."""
+def test_shutdown_closes_idle_connections_and_refuses_new_requests() -> None:
+    """Guards against serving keep-alive connections until the grace period cuts their answers."""
 
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, Way.WELL, Way.HANG)
+        await _start_server(bench, Way.WELL, Way.HANG)
         idle, busy = await bench.connect(), await bench.connect()
         assert (await bench.ask("/read/1", connection=idle)).status == 200
-        asking = asyncio.ensure_future(bench.ask("/read/2", connection=busy, left_ms=2000))
+        request_task = asyncio.ensure_future(bench.ask("/read/2", connection=busy, left_ms=2000))
         await bench.until(lambda: len(bench.servers["s1"].seen) == 2)
         bench.stopping.set()
         with pytest.raises(ConnectionError):
             await idle.read_head()
         assert not await bench.is_ready()
         await bench.until(lambda: bench.gateway.refuses_new)
-        late = await bench.ask("/read/3")
-        assert late.status == 503
-        assert late.head.get(b"retry-after") is not None
-        assert (await asking).status == 504
+        late_answer = await bench.ask("/read/3")
+        assert late_answer.status == 503
+        assert late_answer.head.get(b"retry-after") is not None
+        assert (await request_task).status == 504
         await bench.running
 
     with replaced(process, "MIN_STOP_S", 0.01):
         run_bench(scenario)
 
 
-def test_bad_requests_are_refused_and_the_gateway_serves_on() -> None:
+def test_malformed_requests_are_refused_and_later_ones_served() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench)
-        smuggled = (
+        await _start_server(bench)
+        ambiguous_length = (
             f"POST /read/1 HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: 4\r\n"
             "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
         )
-        for text in (smuggled, "no request at all\r\n\r\n"):
+        for text in (ambiguous_length, "no request at all\r\n\r\n"):
             connection = await bench.connect()
             connection.send([text.encode()])
             assert (await connection.read_head()).status == 400
-        too_long = await bench.ask("/read/1", headers={"X-Long": "x" * 5000})
-        assert too_long.status == 431
+        too_large_head = await bench.ask("/read/1", headers={"X-Long": "x" * 5000})
+        assert too_large_head.status == 431
         assert (await bench.ask("/read/1", body=b"x" * 5000)).status == 413
         assert (await bench.ask("/read/1", headers={"X-Deadline-Ms": "soon"})).status == 200
         assert len(bench.servers["s1"].seen) == 1
@@ -279,16 +281,16 @@
     run_bench(scenario)
 
 
-def test_a_handler_that_fails_cuts_its_connection_and_no_other() -> None:
+def test_exception_in_a_handler_closes_only_its_connection() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench)
-        real = bench.gateway.state.admission
+        await _start_server(bench)
+        original_admission = bench.gateway.state.admission
 
-        def failing(service: str) -> object:
-            bench.gateway.state.admission = real  # type: ignore[method-assign]
+        def fail_once(service: str) -> object:
+            bench.gateway.state.admission = original_admission  # type: ignore[method-assign]
             raise KeyError("unexpected")
 
-        bench.gateway.state.admission = failing  # type: ignore[method-assign, assignment]
+        bench.gateway.state.admission = fail_once  # type: ignore[method-assign, assignment]
         with pytest.raises(ConnectionError):
             await bench.ask("/read/1")
         assert (await bench.ask("/read/1")).status == 200
@@ -296,11 +298,11 @@
     run_bench(scenario)
 
 
-def test_an_address_that_answers_for_another_upstream_is_left_alone() -> None:
-    """It stayed in the list, and every request went there first, until it was unlisted."""
+def test_address_that_answers_as_another_instance_is_avoided() -> None:
+    """Guards against trying such an address first for every request until it is unlisted."""
 
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, *[Way.OTHER_SERVER] * 9)
+        await _start_server(bench, *[Way.OTHER_SERVER] * 9)
         assert (await bench.ask("/read/1")).status == 503
         await bench.add_server("s2")
         for number in range(4):
@@ -310,43 +312,43 @@
     run_bench(scenario)
 
 
-def test_a_stream_at_a_slow_rank_goes_on_elsewhere_in_the_same_answer() -> None:
-    """Streams that were there when a rank turned slow held their whole group up to their end."""
+def test_stream_moves_from_a_slow_rank_within_one_answer() -> None:
+    """Guards against streams that stay at a rank turned slow and delay its whole group."""
 
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
-        slow = await bench.add_server("s1")
+        slow_server = await bench.add_server("s1")
         group = {"name": "g", "epoch": 1, "rank": 0, "state": "open"}
         address = bench.gateway.state.upstreams.find("s1").address  # type: ignore[union-attr]
         bench.list_server("s1", address, group=group, size=2)
         await bench.until(lambda: bench.gateway.state.upstreams.find("s1").group == "g")  # type: ignore[union-attr]
-        slow.pace_s = TIMEOUT_S / (EVENTS - 1)
-        asking = asyncio.ensure_future(bench.ask("/stream/1"))
-        await slow.reached.wait()
-        other = await bench.add_server("s2")
+        slow_server.pace_s = TIMEOUT_S / (EVENTS - 1)
+        request_task = asyncio.ensure_future(bench.ask("/stream/1"))
+        await slow_server.reached.wait()
+        other_server = await bench.add_server("s2")
         plan = StoredPlan(demand=(), slow_ranks=(0,))
         other_entry = bench.gateway.state.upstreams.find("s2")
         assert other_entry is not None
         bench.list_server("s2", other_entry.address, group={**group, "rank": 1}, size=2)
         await bench.until(lambda: bench.gateway.state.upstreams.find("s2").group == "g")  # type: ignore[union-attr]
         bench.gateway._planners.note_plan("desk/g", plan)
-        answer = await asking
+        answer = await request_task
         assert answer.is_whole and answer.body == whole_stream()
-        assert other.runs == slow.runs
-        # It is no fault of the slow rank's: nothing is ejected.
+        assert other_server.runs == slow_server.runs
+        # Slowness is no failure of the upstream, so none is ejected.
         assert all(u.ejected_until_s == 0 for u in bench.gateway.state.upstreams)
 
     run_bench(scenario)
 
 
-def test_what_must_not_repeat_stays_at_a_slow_rank() -> None:
+def test_unsafe_request_is_not_moved_from_a_slow_server() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench)
+        await _start_server(bench)
         server = bench.servers["s1"]
         server.pace_s = 0.2
-        asking = asyncio.ensure_future(bench.ask("/pay/1"))
+        request_task = asyncio.ensure_future(bench.ask("/pay/1"))
         await server.reached.wait()
         assert all(not u.moves for u in bench.gateway.state.upstreams)
-        assert (await asking).status == 200
+        assert (await request_task).status == 200
 
     run_bench(scenario)
