--- a/tests/gateway_bench.py
+++ b/tests/gateway_bench.py
@@ -199,7 +199,7 @@
 
 
 CONNECT_TIMEOUT_MS = 5_000
-"""All components share one process, which may get no CPU for longer than a connect usually takes."""
+"""All components share one process, which may get no CPU for longer than connecting takes."""
 
 
 async def start_gateway(
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -1,9 +1,10 @@
-"""Run what several gateways learn by before one store, on virtual time.
+"""Simulate how several gateways learn of changes in one store, in virtual time.
 
-Each gateway has a path to the store and each pair of gateways one for datagrams; both can be
-broken. What is real: `Follower`, `Store`, `Session`, `HallFeed`, `PeerReports`. What stands in:
-sockets, the store (`standins.metadata`) and what a gateway does with what it learned. Gateways hear
-of each other from the store's list alone, and their entries stand under leases that run out.
+Each gateway has a path to the store, and each pair of gateways a path for datagrams; tests can
+break either. `Follower`, `Store`, `Session`, `HallFeed`, `StoreCopies` and `PeerReports` are the
+actual ones. Sockets, the store (`standins.metadata`) and the use that a gateway makes of changes
+are simulated. Gateways discover each other only through the store's list, where their entries
+depend on leases that expire.
 """
 
 from __future__ import annotations
@@ -44,27 +45,27 @@
 CONFIG_KEY = "op/config"
 SERVICE = "desk"
 DELAY_S = 0.001
-"""One way, to the store and between gateways."""
-PIECE_BYTES = 16_384
-LEASE_CHECK_S = 0.1
-_PORT = 7000
+"""One-way delay to the store and between gateways."""
+CHUNK_BYTES = 16_384
+LEASE_CHECK_INTERVAL_S = 0.1
+_FIRST_PORT = 7000
 
 
 class Path(enum.Enum):
-    """Name what becomes of a gateway's calls to the store."""
+    """State of a gateway's path to the store."""
 
     PASS = "pass"
-    # Answered 503 at once.
+    # Calls are answered with 503 immediately.
     REFUSE = "refuse"
-    # Nothing comes back, also on connections that are open; they stay silent for good.
+    # No answers and no new connections; connections that are open now never answer again.
     SILENT = "silent"
-    # Connections that were open are silent for good, new ones work.
+    # Connections that are open now never answer again; new ones work.
     OLD_SILENT = "old_silent"
 
 
 @dataclass
-class _Caller:
-    """Stand in for the store's side of a connection."""
+class _StoreSideCaller:
+    """Simulated server side of a connection."""
 
     connection: _Connection
 
@@ -76,7 +77,7 @@
 
 
 class _Connection(ClientConnection):
-    """Stand in for a connection that a gateway opened, with the bandwidth of its VM's link."""
+    """Simulated connection opened by a gateway, with the bandwidth of its VM's link."""
 
     def __init__(self, gateway: WorldGateway, handler: Handler, *, is_to_store: bool) -> None:
         self._gateway = gateway
@@ -92,15 +93,15 @@
         head, _, body = b"".join(parts).partition(b"\r\n\r\n")
         method, target = head.split(b" ", 2)[:2]
         request = CallerRequest(method, target, (), body, asyncio.get_running_loop().time())
-        self._run(self._ask(request))
+        self._start_task(self._send_to_handler(request))
 
     async def read_head(self) -> AnswerHead:
-        item = await self._next()
+        item = await self._next_item()
         assert isinstance(item, AnswerHead)
         return item
 
     async def read_piece(self) -> bytes | None:
-        item = await self._next()
+        item = await self._next_item()
         assert item is None or isinstance(item, bytes)
         return item
 
@@ -110,43 +111,43 @@
             task.cancel()
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        self._run(self._deliver(status, headers, body))
+        self._start_task(self._deliver(status, headers, body))
 
     def fail(self, error: Exception) -> None:
-        self._put(error)
+        self._enqueue(error)
 
-    async def _ask(self, request: CallerRequest) -> None:
+    async def _send_to_handler(self, request: CallerRequest) -> None:
         await asyncio.sleep(DELAY_S)
         if self.is_silent:
             return
         if self._is_to_store and self._gateway.path is Path.REFUSE:
             self.answer(503, (), b"")
             return
-        caller: Any = _Caller(self)
+        caller: Any = _StoreSideCaller(self)
         await self._handler(caller, request)
 
     async def _deliver(self, status: int, headers: Headers, body: bytes) -> None:
         await asyncio.sleep(DELAY_S + (self._gateway.slowness_s if self._is_to_store else 0.0))
         if self.is_silent:
             return
-        self._put(AnswerHead(status, headers))
-        for start in range(0, len(body), PIECE_BYTES):
-            piece = body[start : start + PIECE_BYTES]
+        self._enqueue(AnswerHead(status, headers))
+        for start in range(0, len(body), CHUNK_BYTES):
+            piece = body[start : start + CHUNK_BYTES]
             await asyncio.sleep(len(piece) / self._gateway.bytes_per_s)
             if self.is_silent:
                 return
             self.received_bytes += len(piece)
-            self._put(piece)
-        self._put(None)
+            self._enqueue(piece)
+        self._enqueue(None)
 
-    def _run(self, work: Any) -> None:
+    def _start_task(self, work: Any) -> None:
         self._tasks.append(asyncio.ensure_future(work))
 
-    def _put(self, item: AnswerHead | bytes | Exception | None) -> None:
+    def _enqueue(self, item: AnswerHead | bytes | Exception | None) -> None:
         self._items.append(item)
         self._arrived.set()
 
-    async def _next(self) -> AnswerHead | bytes | None:
+    async def _next_item(self) -> AnswerHead | bytes | None:
         while not self._items:
             self._arrived.clear()
             await self._arrived.wait()
@@ -158,7 +159,7 @@
 
 @dataclass(eq=False)
 class WorldGateway:
-    """Hold one gateway: what runs, what it has in force, and how its paths are."""
+    """One gateway: its components, what it has learned when, and the state of its paths."""
 
     name: str
     hall: str
@@ -171,33 +172,33 @@
     follower: Follower
     session: Session
     bytes_per_s: float = 2.5e6
-    # Added to each answer of the store.
+    # Delay added to each answer of the store.
     slowness_s: float = 0.0
     path: Path = Path.PASS
     connections: set[_Connection] = field(default_factory=set)
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
     version: int = 0
-    # When each version came into force.
+    # Time at which each configuration version came into force.
     in_force_at_s: dict[int, float] = field(default_factory=dict)
-    # When it learned that an upstream leaves.
+    # Time at which it learned that an upstream is leaving.
     leaving_at_s: dict[str, float] = field(default_factory=dict)
-    # When it took an upstream as gone.
+    # Time at which it removed an upstream.
     gone_at_s: dict[str, float] = field(default_factory=dict)
-    # Gateways that no datagram reaches from here.
+    # Gateways that receive no datagrams from this one.
     deaf: set[str] = field(default_factory=set)
     loss: float = 0.0
-    # Added to each datagram that it sends.
+    # Delay added to each datagram that it sends.
     send_delay_s: float = 0.0
 
     def may_use(self, incarnation: str) -> bool:
-        """Return whether it may send requests to an upstream."""
+        """Return whether the gateway may send requests to an upstream."""
         usable = self.upstreams.of_service(SERVICE)
         return incarnation in {u.listed.incarnation for u in usable}
 
 
 @dataclass
 class _Socket:
-    """Stand in for a gateway's datagram socket."""
+    """Simulated datagram socket of a gateway."""
 
     world: HallWorld
     gateway: str
@@ -207,31 +208,32 @@
 
 
 class HallWorld:
-    """Hold the store, the gateways, and when each version was confirmed."""
+    """A store, its gateways, and the time at which the store confirmed each version."""
 
     def __init__(self, seed: int = 1, padding_bytes: int = 0) -> None:
-        """Prepare; `padding_bytes` are added to each configuration and do not compress."""
+        """Create a world; each configuration has `padding_bytes` that do not compress."""
         self.rng = random.Random(seed)
         self.store = MetadataStandIn()
         self.gateways: dict[str, WorldGateway] = {}
         self.confirmed_at_s: dict[int, float] = {}
-        self._padding_bytes = padding_bytes
+        self._config_padding_bytes = padding_bytes
         self._version = 0
         self._ports: dict[str, int] = {}
-        # What the operator and the upstreams wrote last.
-        self._written: dict[str, bytes] = {}
-        # When each upstream said that it leaves, or its entry went; and of the latter alone.
+        # Latest values written by the operator and the upstreams.
+        self._written_items: dict[str, bytes] = {}
+        # Time at which each upstream announced that it is leaving, or lost its entry.
         self.left_at_s: dict[str, float] = {}
+        # Time at which each upstream lost its entry.
         self.gone_at_s: dict[str, float] = {}
-        # When the store was restored last.
+        # Time of the last restore of the store.
         self.store_back_at_s = float("-inf")
-        self._lease_watch: asyncio.Task[None] | None = None
+        self._lease_task: asyncio.Task[None] | None = None
 
     def now_s(self) -> float:
         return asyncio.get_running_loop().time()
 
     def start(self, name: str, hall: str = "hall") -> WorldGateway:
-        """Start a gateway; the others know of it once the store lists it."""
+        """Start a gateway; the others discover it once the store lists it."""
         loop = asyncio.get_running_loop()
         rng = random.Random(f"{name}{self.rng.random()}")
         feed = HallFeed(name, loop.time, rng, lambda changes: reports.send_to_hall(changes))
@@ -251,7 +253,7 @@
             crashes=CrashWatch(lambda: 0.0, lambda: None),
         )
         reports._transport = _Socket(self, name)  # type: ignore[assignment]
-        port = self._ports.setdefault(name, _PORT + len(self._ports))
+        port = self._ports.setdefault(name, _FIRST_PORT + len(self._ports))
         era = StoreEra()
         session = Session(name, name, Member(f"{name}:{port}", hall), clock=loop.time, era=era)
         gateway = WorldGateway(
@@ -268,8 +270,8 @@
         )
         gateway.follower = Follower(name, "", self._make_listener(gateway), feed, era)
         self.gateways[name] = gateway
-        if self._lease_watch is None:
-            self._lease_watch = asyncio.ensure_future(self._end_leases())
+        if self._lease_task is None:
+            self._lease_task = asyncio.ensure_future(self._run_lease_expiry())
         gateway.tasks = [
             asyncio.ensure_future(gateway.follower.run()),
             asyncio.ensure_future(session.run()),
@@ -279,7 +281,7 @@
         return gateway
 
     def begin(self, halls: Mapping[str, str], upstreams: Iterable[str]) -> None:
-        """Apply a configuration, list upstreams, and start gateways, each named by a letter."""
+        """Apply a configuration, list upstreams and start gateways, each named by a letter."""
         self.apply()
         for incarnation in upstreams:
             self.write_upstream(incarnation, "ready")
@@ -288,57 +290,57 @@
                 self.start(name, hall)
 
     async def end(self, name: str) -> None:
-        """End a gateway at once, as a kill would."""
+        """Stop a gateway without cleanup, as a kill would."""
         gateway = self.gateways.pop(name)
         for task in gateway.tasks:
             task.cancel()
         await asyncio.gather(*gateway.tasks, return_exceptions=True)
 
     async def close(self) -> None:
-        """End all gateways."""
+        """Stop all gateways."""
         for name in list(self.gateways):
             await self.end(name)
-        if self._lease_watch is not None:
-            self._lease_watch.cancel()
+        if self._lease_task is not None:
+            self._lease_task.cancel()
 
     def apply(self) -> int:
-        """Have the store confirm the next configuration and return its version."""
+        """Write the next configuration version to the store and return it."""
         self._version += 1
-        padding = self.rng.randbytes(self._padding_bytes).hex()[: self._padding_bytes]
+        padding = self.rng.randbytes(self._config_padding_bytes).hex()[: self._config_padding_bytes]
         config = make_config(self._version, padding=padding)
-        self._write(CONFIG_KEY, msgspec.json.encode(config))
+        self._write_item(CONFIG_KEY, msgspec.json.encode(config))
         self.confirmed_at_s[self._version] = self.now_s()
         return self._version
 
     def write_upstream(self, incarnation: str, state: str) -> None:
-        """Have an upstream write its entry."""
+        """Write the entry of an upstream to the store."""
         if state != "ready":
             self.left_at_s.setdefault(incarnation, self.now_s())
         entry = {"service": SERVICE, "address": "127.0.0.1:9", "zone": "hall", "slots": 2}
-        self._write(f"servers/{incarnation}", msgspec.json.encode({**entry, "state": state}))
+        self._write_item(f"servers/{incarnation}", msgspec.json.encode({**entry, "state": state}))
 
     def restore_store(self) -> None:
-        """Restore the store; operator and upstreams write again what they had written."""
+        """Restore the store from its copy, then write the operator's and upstreams' items again."""
         self.store.restore()
         self.store_back_at_s = self.now_s()
         for key in list(self.store.items):
-            if key.startswith("servers/") and key not in self._written:
+            if key.startswith("servers/") and key not in self._written_items:
                 self.store.delete(key)
-        for key, value in self._written.items():
+        for key, value in self._written_items.items():
             item = self.store.items.get(key)
             if item is None or item.value != value:
                 self.store.put(key, value)
 
     def delete_upstream(self, incarnation: str) -> None:
-        """Have the entry of an upstream go, without notice."""
+        """Delete the entry of an upstream without notice."""
         self.left_at_s.setdefault(incarnation, self.now_s())
         self.gone_at_s[incarnation] = self.now_s()
         key = f"servers/{incarnation}"
-        self._written.pop(key, None)
+        self._written_items.pop(key, None)
         self.store.delete(key)
 
     def set_path(self, name: str, path: Path) -> None:
-        """Change what becomes of a gateway's calls to the store."""
+        """Set the state of a gateway's path to the store."""
         gateway = self.gateways[name]
         gateway.path = Path.PASS if path is Path.OLD_SILENT else path
         if path in (Path.SILENT, Path.OLD_SILENT):
@@ -346,7 +348,7 @@
                 connection.is_silent = True
 
     def cut_off(self, name: str) -> None:
-        """Cut a gateway off from the store and from all others."""
+        """Disconnect a gateway from the store and from all other gateways."""
         self.set_path(name, Path.SILENT)
         others = set(self.gateways) - {name}
         self.gateways[name].deaf = others
@@ -354,14 +356,14 @@
             self.gateways[other].deaf.add(name)
 
     def heal(self, name: str) -> None:
-        """End what `cut_off` did."""
+        """Restore the connections that `cut_off` broke."""
         self.set_path(name, Path.PASS)
         self.gateways[name].deaf = set()
         for other in self.gateways.values():
             other.deaf.discard(name)
 
     def carry(self, sender: str, data: bytes, address: tuple[str, int]) -> None:
-        """Carry a datagram, or lose it."""
+        """Deliver a datagram after its delay, or drop it."""
         source = self.gateways.get(sender)
         target = next((g for g in self.gateways.values() if g.port == address[1]), None)
         if source is None or target is None or target.name in source.deaf:
@@ -374,7 +376,7 @@
         loop.call_later(delay_s, target.reports.datagram_received, data, from_address)
 
     async def connect(self, name: str, timeout_s: float) -> _Connection:
-        """Open a connection of a gateway to the store, as the store's client would."""
+        """Open a connection from a gateway to the store; replaces `connect` of the client."""
         gateway = self.gateways.get(name)
         await asyncio.sleep(2 * DELAY_S)
         if gateway is None or gateway.path is Path.SILENT:
@@ -385,7 +387,7 @@
         return connection
 
     async def connect_peer(self, name: str, address: str) -> ClientConnection:
-        """Open a connection of a gateway to another one."""
+        """Open a connection from a gateway to another one."""
         host, port = address.split(":")
         target = next((g for g in self.gateways.values() if g.port == int(port)), None)
         await asyncio.sleep(2 * DELAY_S)
@@ -395,13 +397,15 @@
         return _Connection(self.gateways[name], target.copies.answer, is_to_store=False)
 
     def lag_s(self, name: str) -> float:
-        """Return how long the oldest version that a gateway lacks has been confirmed."""
+        """Return the time since the store confirmed the oldest version that a gateway lacks."""
         gateway = self.gateways[name]
-        lacking = [at for version, at in self.confirmed_at_s.items() if version > gateway.version]
-        return self.now_s() - min(lacking) if lacking else 0.0
+        missing_since_s = [
+            at for version, at in self.confirmed_at_s.items() if version > gateway.version
+        ]
+        return self.now_s() - min(missing_since_s) if missing_since_s else 0.0
 
     async def watch_lag(self, names: Iterable[str], for_s: float) -> dict[str, float]:
-        """Return the longest lag of each gateway over a time."""
+        """Return the longest lag of each gateway during a period."""
         longest = dict.fromkeys(names, 0.0)
         until_s = self.now_s() + for_s
         while self.now_s() < until_s:
@@ -411,54 +415,54 @@
         return longest
 
     async def keep_applying(self, gap_s: float) -> None:
-        """Apply configurations one after the other, for ever."""
+        """Apply configurations at an interval until cancelled."""
         while True:
             self.apply()
             await asyncio.sleep(gap_s)
 
-    def _write(self, key: str, value: bytes) -> None:
-        self._written[key] = value
+    def _write_item(self, key: str, value: bytes) -> None:
+        self._written_items[key] = value
         self.store.put(key, value)
 
-    async def _end_leases(self) -> None:
+    async def _run_lease_expiry(self) -> None:
         while True:
-            await asyncio.sleep(LEASE_CHECK_S)
+            await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             if self.store.fault == "none":
                 self.store.end_lapsed_leases()
 
     def _make_listener(self, gateway: WorldGateway) -> Listener:
-        def take_table(table: RoutingTable) -> None:
+        def on_table_read(table: RoutingTable) -> None:
             if table.version > gateway.version:
                 gateway.version = table.version
                 gateway.in_force_at_s[table.version] = self.now_s()
 
-        def take_upstream(listed: ListedUpstream) -> None:
+        def on_upstream_read(listed: ListedUpstream) -> None:
             gateway.upstreams.put(listed)
             gateway.gone_at_s.pop(listed.incarnation, None)
             if listed.is_leaving:
                 gateway.leaving_at_s.setdefault(listed.incarnation, self.now_s())
 
-        def take_gone(incarnation: str) -> None:
+        def on_upstream_removed(incarnation: str) -> None:
             gateway.upstreams.remove(incarnation)
             gateway.gone_at_s.setdefault(incarnation, self.now_s())
 
-        def take_member(name: str, member: Member | None) -> None:
+        def on_member_read(name: str, member: Member | None) -> None:
             gateway.members.note_listed(name, member)
             if name == gateway.name and member is None:
                 gateway.session.note_unlisted()
 
         return Listener(
-            on_table=take_table,
-            on_upstream=take_upstream,
-            on_upstream_gone=take_gone,
-            on_member=take_member,
+            on_table=on_table_read,
+            on_upstream=on_upstream_read,
+            on_upstream_gone=on_upstream_removed,
+            on_member=on_member_read,
             on_duty=lambda duty, holder: None,
             on_plan=lambda duty, plan: None,
         )
 
 
 def use_world(world: HallWorld, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have the store's clients connect through a world; addresses are gateways' names."""
+    """Make store clients connect through a world; their addresses are the names of gateways."""
     monkeypatch.setattr(store_module, "connect", world.connect)
 
 
@@ -474,7 +478,7 @@
     upstreams: Iterable[str] = (),
     padding_bytes: int = 0,
 ) -> None:
-    """Start the gateways of halls, each named by a letter, let them settle, and play a scenario."""
+    """Start the gateways of each hall, named by letters, wait until they settle, run a scenario."""
     world = HallWorld(padding_bytes=padding_bytes)
     use_world(world, monkeypatch)
 
@@ -490,7 +494,7 @@
 
 
 async def run_beside(work: Any, main: Any) -> Any:
-    """Run a coroutine while another goes on, and end that one with it."""
+    """Run `main` with `work` in the background, and cancel `work` when `main` ends."""
     task = asyncio.ensure_future(work)
     try:
         return await main
--- a/tests/test_cut_halls.py
+++ b/tests/test_cut_halls.py
@@ -1,6 +1,7 @@
-"""Cut a hall off from the platform, from the other hall and from both: it serves what it can.
+"""Test that a hall partitioned from the platform, the other hall or both still serves requests.
 
-A cut is seen from one hall at a time: the other hall's sidecar cannot be reached, nor the platform.
+A partition affects one hall: its processes cannot reach the platform, the other hall's sidecar, or
+either.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 from tests.relay import Relay
 
 HALLS = ("cmb-a", "ngb")
-FAST = {"leave_ms": 0, "poll_min_ms": 50, "poll_max_ms": 150, "beat_interval_ms": 100}
-PAYMENTS = 12
+SHORT_INTERVALS = {"leave_ms": 0, "poll_min_ms": 50, "poll_max_ms": 150, "beat_interval_ms": 100}
+PAYMENT_COUNT = 12
 
 
 @dataclass
 class Hall:
-    """Hold a hall: its service, sidecar, entry and the relays to them and to the platform."""
+    """One hall: its service, sidecar and entry, and TCP relays to its sidecar and the platform."""
 
     service: PlainStandIn
     to_platform: Relay
@@ -44,14 +45,14 @@
 
 @dataclass
 class World:
-    """Hold two halls that share a gate service."""
+    """Two halls that share a service named gate."""
 
     servers: list[HttpServer] = field(default_factory=list)
     halls: dict[str, Hall] = field(default_factory=dict)
     http: HttpClient = field(default_factory=lambda: HttpClient(connect_timeout_s=1))
 
     def start(self) -> None:
-        platform = self._serve(KeyValueStandIn().handle)
+        platform = self._start_server(KeyValueStandIn().handle)
         for name in HALLS:
             self.halls[name] = self._start_hall(name, platform)
         apply_text(HttpKeyValue(platform), json.dumps(self._config()), apply_id="a").unwrap()
@@ -59,7 +60,7 @@
             for process in (hall.entry, hall.sidecar):
                 wait_for(lambda p=process: p.holder.version == 1, "configuration")  # type: ignore[misc]
 
-    def _serve(self, handler) -> str:  # type: ignore[no-untyped-def]
+    def _start_server(self, handler) -> str:  # type: ignore[no-untyped-def]
         server = HttpServer("127.0.0.1", 0, handler, name="standin")
         server.start()
         self.servers.append(server)
@@ -68,13 +69,13 @@
     def _start_hall(self, name: str, platform: str) -> Hall:
         service = PlainStandIn()
         to_platform, to_sidecar = Relay(platform), Relay("127.0.0.1:1")
-        common = {"hall": name, "platform": to_platform.address, **FAST}
+        common = {"hall": name, "platform": to_platform.address, **SHORT_INTERVALS}
         sidecar = Sidecar(
             Settings(
                 role="sidecar",
                 name=f"s-{name}",
                 upstream=f"gate-{name}",
-                upstream_http=self._serve(service.handle),
+                upstream_http=self._start_server(service.handle),
                 advertise_http=to_sidecar.address,
                 **common,  # type: ignore[arg-type]
             )
@@ -105,11 +106,11 @@
             "services": {"gate": {"kind": "plain", "path_prefix": "/gate", "upstreams": names}},
         }
 
-    def cut(self, hall: str, what: str) -> None:
+    def cut(self, hall: str, cut_from: str) -> None:
         other = next(name for name in HALLS if name != hall)
-        if what in ("platform", "both"):
+        if cut_from in ("platform", "both"):
             self.halls[hall].to_platform.set_mode("refuse")
-        if what in ("other_hall", "both"):
+        if cut_from in ("other_hall", "both"):
             self.halls[other].to_sidecar.set_mode("refuse")
             self.halls[other].to_control.set_mode("refuse")
 
@@ -146,48 +147,52 @@
 
 @pytest.fixture
 def world() -> Iterator[World]:
-    made = World()
-    made.start()
-    yield made
-    made.stop()
+    started_world = World()
+    started_world.start()
+    yield started_world
+    started_world.stop()
 
 
 @pytest.mark.parametrize("hall", HALLS)
-@pytest.mark.parametrize("what", ["platform", "other_hall", "both"])
-def test_cut_hall_serves_and_nothing_is_done_twice(world: World, hall: str, what: str) -> None:
+@pytest.mark.parametrize("cut_from", ["platform", "other_hall", "both"])
+def test_isolated_hall_serves_and_runs_no_payment_twice(
+    world: World, hall: str, cut_from: str
+) -> None:
     other = next(name for name in HALLS if name != hall)
-    world.cut(hall, what)
+    world.cut(hall, cut_from)
     for number in range(20):
         answer = world.send(hall, "GET", f"read {number}")
         answer.read()
-        assert answer.status == 200, "a repeatable request finds an upstream of its own hall"
-    payments = [(make_dated_key(), f"pay {number}") for number in range(PAYMENTS)]
+        assert answer.status == 200, (
+            "repeatable requests are served by an upstream of the hall itself"
+        )
+    payments = [(make_dated_key(), f"pay {number}") for number in range(PAYMENT_COUNT)]
     first = {}
     for key, body in payments:
         answer = world.send(hall, "POST", body, key)
         first[key] = (answer.status, answer.headers["dalehollow-verdict"], answer.read())
     verdicts = {verdict for _, verdict, _ in first.values()}
-    assert verdicts <= {"RAN", "NOT_RUN"}, "a cut hall knows what it did not run"
-    assert "RAN" in verdicts, "keys of the hall's own owner are served"
-    if what == "platform":
+    assert verdicts <= {"RAN", "NOT_RUN"}, "the hall can tell which requests did not run"
+    assert "RAN" in verdicts, "keys whose owner is in this hall are served"
+    if cut_from == "platform":
         assert verdicts == {"RAN"}
-    told_not_run = [body for key, body in payments if first[key][1] == "NOT_RUN"]
-    assert all(world.runs()[body] == 0 for body in told_not_run)
+    not_run_bodies = [body for key, body in payments if first[key][1] == "NOT_RUN"]
+    assert all(world.runs()[body] == 0 for body in not_run_bodies)
     world.heal()
     for key, body in payments:
-        _ask_until_answered(world, other, body, key, first[key])
+        _retry_until_answered(world, other, body, key, first[key])
     assert all(world.runs()[body] == 1 for _, body in payments)
 
 
-def _ask_until_answered(
+def _retry_until_answered(
     world: World, hall: str, body: str, key: str, first: tuple[int, str, bytes]
 ) -> None:
     def is_answered() -> bool:
         answer = world.send(hall, "POST", body, key)
         content = answer.read()
         if answer.status == 200 and first[0] == 200:
-            assert content == first[2], "a retry gets the first answer"
+            assert content == first[2], "a retry returns the first answer"
         threading.Event().wait(0.01)
         return answer.status == 200
 
-    wait_for(is_answered, f"{body} is answered after healing")
+    wait_for(is_answered, f"{body} answered after the partition ended")
