--- a/tests/test_config_in_time.py
+++ b/tests/test_config_in_time.py
@@ -1,11 +1,11 @@
-"""Check how late a confirmed configuration can come into force at a gateway.
-
-What was seen: a gateway refused requests as a configuration said that had been replaced 3.6 s
-before. It had been cut off for 4 s. After the cut its calls to the store were answered for 17 s,
-and none of the answers was read to its end: a call had 0.4 s in all, and the answer, every
-configuration since the cut, took longer on the VM's link. What had come was thrown away and asked
-for again while more was written. Bytes received, the store's own count of answers, and the end when
-the store had dropped the history showed it.
+"""Test how long a confirmed configuration can take to come into force at a gateway.
+
+Guards against a gateway that applies a configuration replaced 3.6 s before. After the gateway had
+been cut off for 4 s, the store answered its calls for 17 s, but no answer was read to its end: a
+call was limited to 0.4 s in total, and the answer, which held every configuration since the cut,
+took longer on the VM's link. Partial answers were discarded and requested again while more was
+written, until the store had dropped its history. The received bytes and the number of answers that
+the store counted showed the cause.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from tests.late_chains import BOUND_S, CHAINS, PHASES_S, Chain, play_chain
 from tests.late_schedules import play_schedule
 
-CONTACT_S = 3.0
-"""The bound holds for a gateway that was left alone for so long."""
+RECOVERY_S = 3.0
+"""The bound applies to a gateway that has been free of failures for this long."""
 
 
-def _play(
+def _run_one_hall(
     monkeypatch: pytest.MonkeyPatch, scenario: Scenario, names: str = "abc", padding_bytes: int = 0
 ) -> None:
-    """Play a scenario of one hall."""
+    """Run a scenario with one hall."""
     play_halls(monkeypatch, scenario, {"hall": names}, padding_bytes=padding_bytes)
 
 
@@ -42,20 +42,20 @@
         world.cut_off("c")
         await asyncio.sleep(4.0)
         world.heal("c")
-        await asyncio.sleep(CONTACT_S)
+        await asyncio.sleep(RECOVERY_S)
         longest = await world.watch_lag("abc", for_s=15.0)
         assert max(longest.values()) < BOUND_S, longest
 
-    async def beside(world: HallWorld) -> None:
+    async def run_scenario(world: HallWorld) -> None:
         await run_beside(world.keep_applying(0.3), scenario(world))
 
-    _play(monkeypatch, beside, padding_bytes=100_000)
+    _run_one_hall(monkeypatch, run_scenario, padding_bytes=100_000)
 
 
-def test_a_gateway_that_the_store_turns_away_hears_from_its_hall(
+def test_gateway_refused_by_the_store_learns_from_its_hall(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It lacked one change, so all that its relay passed on later was dropped."""
+    """Guards against dropping all that the relay forwards after one missed change."""
 
     async def scenario(world: HallWorld) -> None:
         world.gateways["a"].deaf = {"b"}
@@ -65,16 +65,16 @@
         longest = await world.watch_lag("abc", for_s=8.0)
         assert max(longest.values()) < BOUND_S, longest
 
-    async def beside(world: HallWorld) -> None:
+    async def run_scenario(world: HallWorld) -> None:
         await run_beside(world.keep_applying(0.3), scenario(world))
 
-    _play(monkeypatch, beside)
+    _run_one_hall(monkeypatch, run_scenario)
 
 
-def test_the_last_change_before_a_refusal_is_copied_from_the_hall(
+def test_last_change_before_a_refusal_is_copied_from_the_hall(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing comes after it that would carry it along."""
+    """No later change follows that would reveal or deliver the missed one."""
 
     async def scenario(world: HallWorld) -> None:
         world.gateways["a"].deaf = {"b"}
@@ -85,10 +85,10 @@
         longest = await world.watch_lag("abc", for_s=8.0)
         assert max(longest.values()) < BOUND_S, longest
 
-    _play(monkeypatch, scenario)
+    _run_one_hall(monkeypatch, scenario)
 
 
-def test_a_hall_that_the_store_does_not_answer_hears_from_another_hall(
+def test_hall_without_answers_from_the_store_learns_from_another_hall(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(world: HallWorld) -> None:
@@ -100,16 +100,16 @@
         longest = await world.watch_lag("abcxyz", for_s=10.0)
         assert max(longest.values()) < BOUND_S, longest
 
-    async def beside(world: HallWorld) -> None:
+    async def run_scenario(world: HallWorld) -> None:
         await run_beside(world.keep_applying(0.8), scenario(world))
 
-    _play(monkeypatch, beside)
+    _run_one_hall(monkeypatch, run_scenario)
 
 
-def test_a_silent_relay_and_rested_connections_do_not_add_up(
+def test_delays_of_a_silent_relay_and_dead_connections_stay_within_the_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Stale knowledge, a call on a connection that is dead and a pause were 3.5 s together."""
+    """Guards against delays that add up to 3.5 s: stale state, a dead connection and a pause."""
 
     async def scenario(world: HallWorld) -> None:
         world.set_path("a", Path.SILENT)
@@ -119,17 +119,17 @@
         longest = await world.watch_lag("bc", for_s=6.0)
         assert max(longest.values()) < BOUND_S, longest
 
-    _play(monkeypatch, scenario)
+    _run_one_hall(monkeypatch, scenario)
 
 
-def test_the_waits_of_the_longest_chain_add_up_to_less_than_the_bound() -> None:
-    """A silent relay is noticed, another gateway asks, tells of it, and is asked for a copy."""
-    noticed_s = feed.STALE_S + follow.PASSIVE_CHECK_INTERVAL_S
-    told_s = reports.IDLE_INTERVAL_S
-    assert noticed_s + told_s + copies.COPY_AFTER_S < BOUND_S
-    # A single gateway of a hall that fails once before it is answered.
-    failed_s = follow.RECOVERY_WAIT_S + follow.RESPONSE_TIMEOUT_S + follow.RETRY_DELAY_S
-    assert noticed_s + failed_s < BOUND_S
+def test_sum_of_the_delays_of_the_longest_chain_is_below_the_bound() -> None:
+    """Detecting a silent relay, reading the store, reporting that, and copying from the reader."""
+    detected_s = feed.STALE_S + follow.PASSIVE_CHECK_INTERVAL_S
+    reported_s = reports.IDLE_INTERVAL_S
+    assert detected_s + reported_s + copies.COPY_AFTER_S < BOUND_S
+    # A hall with a single gateway whose first call fails and whose second one is answered.
+    retried_s = follow.RECOVERY_WAIT_S + follow.RESPONSE_TIMEOUT_S + follow.RETRY_DELAY_S
+    assert detected_s + retried_s < BOUND_S
 
 
 @pytest.mark.parametrize("chain", CHAINS, ids=Chain.describe)
@@ -141,34 +141,34 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 41))
-def test_no_random_schedule_makes_a_configuration_late(
+def test_random_schedules_of_failures_stay_within_the_bound(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert play_schedule(seed, BOUND_S, monkeypatch) == []
 
 
-def _fetch_no_copies(monkeypatch: pytest.MonkeyPatch) -> None:
+def _disable_copies(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(StoreCopies, "record_peer_revision", lambda *args: None)
 
 
-def _rely_on_old_knowledge(monkeypatch: pytest.MonkeyPatch) -> None:
+def _rely_on_stale_state(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(follow, "WATCH_WAIT_S", 3.0)
     monkeypatch.setattr("dalehollow.gateway.feed.STALE_S", 4.0)
 
 
-def _drop_what_follows_a_gap(monkeypatch: pytest.MonkeyPatch) -> None:
-    take = HallFeed.apply_changes
+def _drop_changes_after_a_gap(monkeypatch: pytest.MonkeyPatch) -> None:
+    original_apply = HallFeed.apply_changes
 
-    def take_in_order(taking: HallFeed, message: Any) -> None:
-        if message.after <= taking.revision:
-            take(taking, message)
+    def apply_without_gap(target_feed: HallFeed, message: Any) -> None:
+        if message.after <= target_feed.revision:
+            original_apply(target_feed, message)
 
-    monkeypatch.setattr(HallFeed, "apply_changes", take_in_order)
-    # Alone, the copies would make up for it.
-    _fetch_no_copies(monkeypatch)
+    monkeypatch.setattr(HallFeed, "apply_changes", apply_without_gap)
+    # Copies would otherwise hide this defect.
+    _disable_copies(monkeypatch)
 
 
-def _pause_long_after_failures(monkeypatch: pytest.MonkeyPatch) -> None:
+def _retry_late_after_failures(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(follow, "RETRY_DELAY_S", 2.0)
     monkeypatch.setattr(follow, "BACKUP_RETRY_DELAY_S", 2.0)
 
@@ -176,13 +176,13 @@
 @pytest.mark.parametrize(
     "defect",
     [
-        _fetch_no_copies,
-        _rely_on_old_knowledge,
-        _drop_what_follows_a_gap,
-        _pause_long_after_failures,
+        _disable_copies,
+        _rely_on_stale_state,
+        _drop_changes_after_a_gap,
+        _retry_late_after_failures,
     ],
 )
-def test_the_random_schedules_find_a_defect(
+def test_random_schedules_detect_defects(
     defect: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     defect(monkeypatch)
