--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Test dalehollow."""
+"""Tests of dalehollow."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Offer the fakes and the hall of processes that tests share."""
+"""Shared fixtures and settings of the tests."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 
 pytest_plugins = ["pytester", "tests.known_red_plugin"]
 
-# As in a process of the system: with several of them in this one, 5 ms turns add up.
+# As in the processes under test. Several of them share this process, where the default interval of
+# 5 ms per thread would add up.
 sys.setswitchinterval(SWITCH_INTERVAL_S)
 
 
 @pytest.fixture
 def platform() -> Iterator[tuple[KeyValueStandIn, HttpKeyValue]]:
-    """Offer a key-value stand-in in this process and a client of it."""
+    """Provide a key-value stand-in in this process and a client for it."""
     standin = KeyValueStandIn()
     server = HttpServer("127.0.0.1", 0, standin.handle, name="keyvalue")
     server.start()
@@ -32,6 +33,6 @@
 
 @pytest.fixture(scope="module")
 def hall() -> Iterator[Hall]:
-    """Offer a whole hall of processes, shared by the tests of a module."""
+    """Provide a complete hall of processes, shared by the tests of a module."""
     with Launcher() as launcher:
         yield start_hall(launcher, engines=2, settings={"leave_ms": 50})
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -1,11 +1,11 @@
-"""Check that what is written to a store that went back is taken in like anything else.
-
-What was seen: requests went to an upstream 3.1 s after it had said that it leaves, and a
-configuration that took a key away was in force at no gateway for 1.1 s and at one for 2.5 s. The
-store had been away for 2.6 s before, and had come back from a copy that was some seconds old. Its
-revisions went on from the copy's, below those that gateways had seen, and gateways took every
-change below what they had seen for known. A reading of all items as of revision 185 at a gateway
-that knew 188, and duties with lower fences than before, proved it.
+"""Test that gateways apply what is written to a store after its restore from an older copy.
+
+Guards against requests to an upstream 3.1 s after it announced that it was leaving, and a revoked
+key that stayed valid at all gateways for 1.1 s and at one for 2.5 s. The store had been down for
+2.6 s and was restored from a copy some seconds old. Its revisions continued from those of the copy,
+below revisions that gateways had seen, and gateways ignored every change below the newest revision
+they had seen. A read of all items as of revision 185 at a gateway that knew 188, and duties with
+lower fences than before, showed the cause.
 """
 
 from __future__ import annotations
@@ -18,44 +18,44 @@
 from tests.late_chains import BOUND_S
 from tests.virtual_time import run_virtual
 
-SETTLE_S = 5.0
-LOST_S = 4.0
-"""What was written in so long before the store went away is lost."""
-LOST_WRITES = 8
-AWAY_S = 2.6
-NAMES = "abc"
-LEAVING = "upstream-1"
+STARTUP_S = 5.0
+LOST_WRITES_S = 4.0
+"""Writes during this time before the outage are lost."""
+LOST_WRITE_COUNT = 8
+OUTAGE_S = 2.6
+GATEWAYS = "abc"
+UPSTREAM = "upstream-1"
 
 
-async def _restore(world: HallWorld) -> None:
-    """Write for a while, and have the store go away and come back without what was written."""
+async def _restore_store(world: HallWorld) -> None:
+    """Write for a time, then stop the store and restore it without these writes."""
     world.store.take_copy()
-    for number in range(LOST_WRITES):
+    for number in range(LOST_WRITE_COUNT):
         world.store.put("dalehollow/plans/desk", b'{"demand": [[%d]]}' % number)
-        await asyncio.sleep(LOST_S / LOST_WRITES)
+        await asyncio.sleep(LOST_WRITES_S / LOST_WRITE_COUNT)
     world.apply()
     await asyncio.sleep(0.1)
     world.store.fault = "busy"
-    await asyncio.sleep(AWAY_S)
+    await asyncio.sleep(OUTAGE_S)
     world.restore_store()
     world.store.fault = "none"
 
 
-def _play_restored(monkeypatch: pytest.MonkeyPatch, calm_s: float) -> dict[str, WorldGateway]:
-    """Restore the store, wait, then change the configuration and have an upstream leave."""
+def _run_with_restore(monkeypatch: pytest.MonkeyPatch, delay_s: float) -> dict[str, WorldGateway]:
+    """Restore the store, wait, then change the configuration and announce a leaving upstream."""
     world = HallWorld()
     use_world(world, monkeypatch)
 
     async def main() -> dict[str, WorldGateway]:
         world.apply()
-        world.write_upstream(LEAVING, "ready")
-        for name in NAMES:
+        world.write_upstream(UPSTREAM, "ready")
+        for name in GATEWAYS:
             world.start(name)
-        await asyncio.sleep(SETTLE_S)
-        await _restore(world)
-        await asyncio.sleep(calm_s)
+        await asyncio.sleep(STARTUP_S)
+        await _restore_store(world)
+        await asyncio.sleep(delay_s)
         world.apply()
-        world.write_upstream(LEAVING, "draining")
+        world.write_upstream(UPSTREAM, "draining")
         await asyncio.sleep(BOUND_S)
         gateways = dict(world.gateways)
         await world.close()
@@ -64,21 +64,21 @@
     return run_virtual(main())
 
 
-CALM_S = (0.0, 0.5, 3.0)
-"""Changes come as the store is back, before all have read it anew, and after."""
+DELAYS_S = (0.0, 0.5, 3.0)
+"""Delays: as soon as the store is back, before all gateways have reread it, and afterwards."""
 
 
-def test_a_configuration_after_a_restore_is_in_force_in_time(
+def test_configuration_written_after_a_restore_is_in_force_within_the_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for calm_s in CALM_S:
-        gateways = _play_restored(monkeypatch, calm_s)
-        assert [gateways[name].version for name in NAMES] == [3, 3, 3], calm_s
+    for delay_s in DELAYS_S:
+        gateways = _run_with_restore(monkeypatch, delay_s)
+        assert [gateways[name].version for name in GATEWAYS] == [3, 3, 3], delay_s
 
 
-def test_an_upstream_that_leaves_after_a_restore_is_known_in_time(
+def test_upstream_leaving_after_a_restore_is_known_within_the_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for calm_s in CALM_S:
-        gateways = _play_restored(monkeypatch, calm_s)
-        assert [LEAVING in gateways[name].leaving_at_s for name in NAMES] == [True] * 3, calm_s
+    for delay_s in DELAYS_S:
+        gateways = _run_with_restore(monkeypatch, delay_s)
+        assert [UPSTREAM in gateways[name].leaving_at_s for name in GATEWAYS] == [True] * 3, delay_s
--- a/tests/test_suspended_vm.py
+++ b/tests/test_suspended_vm.py
@@ -1,10 +1,9 @@
-"""Check that a VM which was suspended does not take the time before for now.
+"""Test that leases, ages and back-offs include the time for which a VM was suspended.
 
-Seen, by reading: after a suspension of seconds a planner believed that it held its duty, whose
-lease had run out long before, and a relay told the others that it knew everything as of now.
-How: a suspension is no time on the steady clock, by which leases and ages were counted.
-Cause: `read_clock` and the event loop's own clock, read in many places.
-Proof: these tests have the two clocks part by moving on the one that counts a suspension.
+Guards against a planner that believes after a suspension of seconds that it holds its duty, whose
+lease has expired, and against a relay that reports stale state as current. Both follow if time is
+measured by a monotonic clock that stops during a suspension, as `read_clock` and the clock of the
+event loop did. The tests simulate a suspension by advancing only the clock that includes it.
 """
 
 from __future__ import annotations
@@ -28,17 +27,17 @@
 
 @contextmanager
 def suspended(for_s: float = SUSPENDED_S) -> Iterator[None]:
-    """Have a suspension lie behind: the steady clock has not counted it."""
-    read = time.clock_gettime
+    """Simulate a past suspension by advancing only the clock that includes suspended time."""
+    original_gettime = time.clock_gettime
 
-    def read_later(clock: int) -> float:
-        return read(clock) + (for_s if clock == time.CLOCK_BOOTTIME else 0.0)
+    def read_advanced(clock: int) -> float:
+        return original_gettime(clock) + (for_s if clock == time.CLOCK_BOOTTIME else 0.0)
 
-    with replaced(time, "clock_gettime", read_later):
+    with replaced(time, "clock_gettime", read_advanced):
         yield
 
 
-def test_a_duty_is_over_after_a_suspension() -> None:
+def test_duty_lease_expires_during_a_suspension() -> None:
     async def run() -> None:
         store = MetadataStandIn()
         session = Session(await listen(store.handle), "a", Member("127.0.0.1:1", "h"))
@@ -60,21 +59,21 @@
         runner.run(run_bounded())
 
 
-def test_what_is_known_has_aged_after_a_suspension() -> None:
+def test_age_of_store_state_includes_a_suspension() -> None:
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         gateway = bench.gateway
         await bench.until(lambda: gateway._feed.relay_state() is not None)
-        before_s = gateway._feed.contact.answer_age_s()
+        age_before_s = gateway._feed.contact.answer_age_s()
         with suspended():
             assert gateway._feed.relay_state() is None
             assert gateway._feed.age_s() >= SUSPENDED_S
-            assert gateway._feed.contact.answer_age_s() >= before_s + SUSPENDED_S
+            assert gateway._feed.contact.answer_age_s() >= age_before_s + SUSPENDED_S
 
     run_bench(scenario)
 
 
-def test_rests_and_windows_have_moved_on_after_a_suspension() -> None:
+def test_backoffs_and_retry_windows_include_a_suspension() -> None:
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         await bench.add_server("s0")
