--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -79,7 +79,7 @@
 class _Connection(ClientConnection):
     """Simulated connection opened by a gateway, with the bandwidth of its VM's link."""
 
-    def __init__(self, gateway: WorldGateway, handler: Handler, *, is_to_store: bool) -> None:
+    def __init__(self, gateway: SimulatedGateway, handler: Handler, *, is_to_store: bool) -> None:
         self._gateway = gateway
         self._handler = handler
         self._is_to_store = is_to_store
@@ -127,7 +127,7 @@
         await self._handler(caller, request)
 
     async def _deliver(self, status: int, headers: Headers, body: bytes) -> None:
-        await asyncio.sleep(DELAY_S + (self._gateway.slowness_s if self._is_to_store else 0.0))
+        await asyncio.sleep(DELAY_S + (self._gateway.store_delay_s if self._is_to_store else 0.0))
         if self.is_silent:
             return
         self._enqueue(AnswerHead(status, headers))
@@ -158,7 +158,7 @@
 
 
 @dataclass(eq=False)
-class WorldGateway:
+class SimulatedGateway:
     """One gateway: its components, what it has learned when, and the state of its paths."""
 
     name: str
@@ -173,7 +173,7 @@
     session: Session
     bytes_per_s: float = 2.5e6
     # Delay added to each answer of the store.
-    slowness_s: float = 0.0
+    store_delay_s: float = 0.0
     path: Path = Path.PASS
     connections: set[_Connection] = field(default_factory=set)
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
@@ -185,7 +185,7 @@
     # Time at which it removed an upstream.
     gone_at_s: dict[str, float] = field(default_factory=dict)
     # Gateways that receive no datagrams from this one.
-    deaf: set[str] = field(default_factory=set)
+    unreachable: set[str] = field(default_factory=set)
     loss: float = 0.0
     # Delay added to each datagram that it sends.
     send_delay_s: float = 0.0
@@ -204,7 +204,7 @@
     gateway: str
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
-        self.world.carry(self.gateway, data, address)
+        self.world.deliver_datagram(self.gateway, data, address)
 
 
 class HallWorld:
@@ -214,7 +214,7 @@
         """Create a world; each configuration has `padding_bytes` that do not compress."""
         self.rng = random.Random(seed)
         self.store = MetadataStandIn()
-        self.gateways: dict[str, WorldGateway] = {}
+        self.gateways: dict[str, SimulatedGateway] = {}
         self.confirmed_at_s: dict[int, float] = {}
         self._config_padding_bytes = padding_bytes
         self._version = 0
@@ -225,14 +225,14 @@
         self.left_at_s: dict[str, float] = {}
         # Time at which each upstream lost its entry.
         self.gone_at_s: dict[str, float] = {}
-        # Time of the last restore of the store.
-        self.store_back_at_s = float("-inf")
+        # Time of the last restore of the store, or of the end of its last outage.
+        self.store_recovered_at_s = float("-inf")
         self._lease_task: asyncio.Task[None] | None = None
 
     def now_s(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def start(self, name: str, hall: str = "hall") -> WorldGateway:
+    def start(self, name: str, hall: str = "hall") -> SimulatedGateway:
         """Start a gateway; the others discover it once the store lists it."""
         loop = asyncio.get_running_loop()
         rng = random.Random(f"{name}{self.rng.random()}")
@@ -256,7 +256,7 @@
         port = self._ports.setdefault(name, _FIRST_PORT + len(self._ports))
         era = StoreEra()
         session = Session(name, name, Member(f"{name}:{port}", hall), clock=loop.time, era=era)
-        gateway = WorldGateway(
+        gateway = SimulatedGateway(
             name,
             hall,
             port,
@@ -280,7 +280,7 @@
         ]
         return gateway
 
-    def begin(self, halls: Mapping[str, str], upstreams: Iterable[str]) -> None:
+    def start_all(self, halls: Mapping[str, str], upstreams: Iterable[str]) -> None:
         """Apply a configuration, list upstreams and start gateways, each named by a letter."""
         self.apply()
         for incarnation in upstreams:
@@ -289,7 +289,7 @@
             for name in names:
                 self.start(name, hall)
 
-    async def end(self, name: str) -> None:
+    async def kill(self, name: str) -> None:
         """Stop a gateway without cleanup, as a kill would."""
         gateway = self.gateways.pop(name)
         for task in gateway.tasks:
@@ -299,7 +299,7 @@
     async def close(self) -> None:
         """Stop all gateways."""
         for name in list(self.gateways):
-            await self.end(name)
+            await self.kill(name)
         if self._lease_task is not None:
             self._lease_task.cancel()
 
@@ -322,7 +322,7 @@
     def restore_store(self) -> None:
         """Restore the store from its copy, then write the operator's and upstreams' items again."""
         self.store.restore()
-        self.store_back_at_s = self.now_s()
+        self.store_recovered_at_s = self.now_s()
         for key in list(self.store.items):
             if key.startswith("servers/") and key not in self._written_items:
                 self.store.delete(key)
@@ -351,22 +351,22 @@
         """Disconnect a gateway from the store and from all other gateways."""
         self.set_path(name, Path.SILENT)
         others = set(self.gateways) - {name}
-        self.gateways[name].deaf = others
+        self.gateways[name].unreachable = others
         for other in others:
-            self.gateways[other].deaf.add(name)
+            self.gateways[other].unreachable.add(name)
 
     def heal(self, name: str) -> None:
         """Restore the connections that `cut_off` broke."""
         self.set_path(name, Path.PASS)
-        self.gateways[name].deaf = set()
+        self.gateways[name].unreachable = set()
         for other in self.gateways.values():
-            other.deaf.discard(name)
+            other.unreachable.discard(name)
 
-    def carry(self, sender: str, data: bytes, address: tuple[str, int]) -> None:
+    def deliver_datagram(self, sender: str, data: bytes, address: tuple[str, int]) -> None:
         """Deliver a datagram after its delay, or drop it."""
         source = self.gateways.get(sender)
         target = next((g for g in self.gateways.values() if g.port == address[1]), None)
-        if source is None or target is None or target.name in source.deaf:
+        if source is None or target is None or target.name in source.unreachable:
             return
         if self.rng.random() < max(source.loss, target.loss):
             return
@@ -391,7 +391,11 @@
         host, port = address.split(":")
         target = next((g for g in self.gateways.values() if g.port == int(port)), None)
         await asyncio.sleep(2 * DELAY_S)
-        if target is None or name in target.deaf or target.name in self.gateways[name].deaf:
+        if (
+            target is None
+            or name in target.unreachable
+            or target.name in self.gateways[name].unreachable
+        ):
             await asyncio.Event().wait()
         assert target is not None and host == target.name
         return _Connection(self.gateways[name], target.copies.answer, is_to_store=False)
@@ -430,7 +434,7 @@
             if self.store.fault == "none":
                 self.store.end_lapsed_leases()
 
-    def _make_listener(self, gateway: WorldGateway) -> Listener:
+    def _make_listener(self, gateway: SimulatedGateway) -> Listener:
         def on_table_read(table: RoutingTable) -> None:
             if table.version > gateway.version:
                 gateway.version = table.version
@@ -470,7 +474,7 @@
 Scenario = Callable[[HallWorld], Awaitable[None]]
 
 
-def play_halls(
+def run_halls(
     monkeypatch: pytest.MonkeyPatch,
     scenario: Scenario,
     halls: Mapping[str, str],
@@ -483,7 +487,7 @@
     use_world(world, monkeypatch)
 
     async def main() -> None:
-        world.begin(halls, upstreams)
+        world.start_all(halls, upstreams)
         await asyncio.sleep(SETTLE_S)
         try:
             await scenario(world)
@@ -493,7 +497,7 @@
     run_virtual(main())
 
 
-async def run_beside(work: Any, main: Any) -> Any:
+async def run_with_background(work: Any, main: Any) -> Any:
     """Run `main` with `work` in the background, and cancel `work` when `main` ends."""
     task = asyncio.ensure_future(work)
     try:
--- a/tests/late_chains.py
+++ b/tests/late_chains.py
@@ -135,15 +135,15 @@
     if chain.relay in _RELAY_PATHS:
         world.set_path("a", _RELAY_PATHS[chain.relay])
     elif chain.relay is RelayFault.KILLED:
-        await world.end("a")
+        await world.kill("a")
     elif chain.relay is RelayFault.CUT_OFF:
         world.cut_off("a")
     elif chain.relay is RelayFault.SLOW:
-        relay.slowness_s = relay.send_delay_s = SLOW_DELAY_S
+        relay.store_delay_s = relay.send_delay_s = SLOW_DELAY_S
     if chain.own_calls in _OWN_CALLS_PATHS:
         world.set_path("b", _OWN_CALLS_PATHS[chain.own_calls])
     elif chain.own_calls is OwnCallsFault.SLOW:
-        learner.slowness_s = SLOW_DELAY_S
+        learner.store_delay_s = SLOW_DELAY_S
     if chain.datagrams is DatagramFault.LOST:
         learner.loss = 1.0
         asyncio.get_running_loop().call_later(DATAGRAM_LOSS_S, setattr, learner, "loss", 0.0)
--- a/tests/late_schedules.py
+++ b/tests/late_schedules.py
@@ -17,7 +17,7 @@
 import pytest
 
 from dalehollow.gateway.contact import DEFAULT_OUTAGE_S, LAPSE_GRACE_S
-from tests.hall_world import HallWorld, Path, WorldGateway, use_world
+from tests.hall_world import HallWorld, Path, SimulatedGateway, use_world
 from tests.virtual_time import run_virtual
 
 SETTLE_S = 3.0
@@ -47,7 +47,7 @@
 
     world: HallWorld
     available_since_s: dict[tuple[str, str], float] = field(default_factory=dict)
-    instances: dict[str, WorldGateway] = field(default_factory=dict)
+    instances: dict[str, SimulatedGateway] = field(default_factory=dict)
     store_heard_at_s: float = 0.0
     # Since when each gateway has not used an upstream that left.
     unused_since_s: dict[tuple[str, str], float] = field(default_factory=dict)
@@ -73,11 +73,11 @@
         is_heard = self.world.store.fault == "none" and any(g.path is Path.PASS for g in gateways)
         now_s = self.world.now_s()
         if is_heard and now_s - self.store_heard_at_s > DEFAULT_OUTAGE_S:
-            self.world.store_back_at_s = now_s
+            self.world.store_recovered_at_s = now_s
         if is_heard:
             self.store_heard_at_s = now_s
 
-    def _check_gateway(self, gateway: WorldGateway, bound_s: float) -> list[MissedFact]:
+    def _check_gateway(self, gateway: SimulatedGateway, bound_s: float) -> list[MissedFact]:
         if self.instances.get(gateway.name) is not gateway:
             self.instances[gateway.name] = gateway
             self._reset_gateway(gateway.name)
@@ -97,7 +97,7 @@
 
     def _store_known_at_s(self, fact: int | str) -> float:
         """Return since when the store has reported a fact, counted from its last recovery."""
-        recovered_at_s = self.world.store_back_at_s
+        recovered_at_s = self.world.store_recovered_at_s
         if isinstance(fact, int):
             return max(recovered_at_s, self.world.confirmed_at_s.get(fact, float("inf")))
         return max(recovered_at_s, self._grace_end_s(fact), self.world.left_at_s[fact])
@@ -108,16 +108,18 @@
         A gateway that was cut off during both cannot tell which it is, even if others can.
         """
         is_gone = upstream in self.world.gone_at_s
-        return self.world.store_back_at_s + LAPSE_GRACE_S if is_gone else float("-inf")
+        return self.world.store_recovered_at_s + LAPSE_GRACE_S if is_gone else float("-inf")
 
-    def _peer_known_at_s(self, peer: WorldGateway, fact: int | str) -> float:
+    def _peer_known_at_s(self, peer: SimulatedGateway, fact: int | str) -> float:
         never_s = float("inf")
         if isinstance(fact, str):
             unused_since_s = self.unused_since_s.get((peer.name, fact), never_s)
             return max(unused_since_s, self._grace_end_s(fact))
         return min((at for v, at in peer.in_force_at_s.items() if v >= fact), default=never_s)
 
-    def _list_source_times(self, gateway: WorldGateway, fact: int | str) -> dict[str, float | None]:
+    def _list_source_times(
+        self, gateway: SimulatedGateway, fact: int | str
+    ) -> dict[str, float | None]:
         """Return when each source learned a fact, None for sources that are unreachable now."""
         sources: dict[str, float | None] = {"store": None}
         is_store_up = self.world.store.fault == "none"
@@ -125,7 +127,7 @@
             # Alone, a gateway cannot tell its own disconnection from an outage of the store, so the
             # grace period applies.
             is_store_up = False
-        if is_store_up and gateway.path is Path.PASS and not gateway.slowness_s:
+        if is_store_up and gateway.path is Path.PASS and not gateway.store_delay_s:
             sources["store"] = self._store_known_at_s(fact)
         for name in HALLS[gateway.hall]:
             peer = self.world.gateways.get(name)
@@ -138,7 +140,7 @@
                 sources[name] = self._peer_known_at_s(peer, fact)
         return sources
 
-    def _hears_any(self, gateway: WorldGateway) -> bool:
+    def _hears_any(self, gateway: SimulatedGateway) -> bool:
         """Return whether a gateway hears another one of its hall; other halls are not required."""
         others = (self.world.gateways.get(n) for n in HALLS[gateway.hall] if n != gateway.name)
         return any(_hears(gateway, other) for other in others if other is not None)
@@ -152,9 +154,9 @@
         }
 
 
-def _hears(gateway: WorldGateway, peer: WorldGateway) -> bool:
+def _hears(gateway: SimulatedGateway, peer: SimulatedGateway) -> bool:
     """Return whether datagrams between two gateways arrive without loss or added delay."""
-    is_connected = gateway.name not in peer.deaf and peer.name not in gateway.deaf
+    is_connected = gateway.name not in peer.unreachable and peer.name not in gateway.unreachable
     return is_connected and not (peer.loss or gateway.loss or peer.send_delay_s)
 
 
@@ -192,7 +194,7 @@
     if name not in world.gateways:
         return
     hall = world.gateways[name].hall
-    await world.end(name)
+    await world.kill(name)
     await asyncio.sleep(RESTART_DELAY_S)
     if name not in world.gateways:
         world.start(name, hall)
@@ -209,9 +211,9 @@
 async def _slow_down(world: HallWorld, name: str, rng: random.Random) -> None:
     gateway = world.gateways.get(name)
     if gateway is not None:
-        gateway.slowness_s = gateway.send_delay_s = SLOW_DELAY_S
+        gateway.store_delay_s = gateway.send_delay_s = SLOW_DELAY_S
         await asyncio.sleep(rng.uniform(0.5, 5.0))
-        gateway.slowness_s = gateway.send_delay_s = 0.0
+        gateway.store_delay_s = gateway.send_delay_s = 0.0
 
 
 async def _forget_history(world: HallWorld, name: str, rng: random.Random) -> None:
@@ -284,7 +286,7 @@
     use_world(world, monkeypatch)
 
     async def main() -> list[MissedFact]:
-        world.begin(HALLS, UPSTREAMS)
+        world.start_all(HALLS, UPSTREAMS)
         await asyncio.sleep(SETTLE_S)
         action_tasks = [
             asyncio.ensure_future(_run_action_later(world, rng, rng.uniform(0.0, DURATION_S)))
--- a/tests/test_config_in_time.py
+++ b/tests/test_config_in_time.py
@@ -20,7 +20,7 @@
 from dalehollow.gateway.copies import StoreCopies
 from dalehollow.gateway.feed import HallFeed
 from dalehollow.platform import follow
-from tests.hall_world import SETTLE_S, HallWorld, Path, Scenario, play_halls, run_beside
+from tests.hall_world import SETTLE_S, HallWorld, Path, Scenario, run_halls, run_with_background
 from tests.late_chains import BOUND_S, CHAINS, PHASES_S, Chain, play_chain
 from tests.late_schedules import play_schedule
 
@@ -32,7 +32,7 @@
     monkeypatch: pytest.MonkeyPatch, scenario: Scenario, names: str = "abc", padding_bytes: int = 0
 ) -> None:
     """Run a scenario with one hall."""
-    play_halls(monkeypatch, scenario, {"hall": names}, padding_bytes=padding_bytes)
+    run_halls(monkeypatch, scenario, {"hall": names}, padding_bytes=padding_bytes)
 
 
 def test_after_a_cut_a_gateway_catches_up_while_configurations_go_on_coming(
@@ -47,7 +47,7 @@
         assert max(longest.values()) < BOUND_S, longest
 
     async def run_scenario(world: HallWorld) -> None:
-        await run_beside(world.keep_applying(0.3), scenario(world))
+        await run_with_background(world.keep_applying(0.3), scenario(world))
 
     _run_one_hall(monkeypatch, run_scenario, padding_bytes=100_000)
 
@@ -58,15 +58,15 @@
     """Guards against dropping all that the relay forwards after one missed change."""
 
     async def scenario(world: HallWorld) -> None:
-        world.gateways["a"].deaf = {"b"}
+        world.gateways["a"].unreachable = {"b"}
         await asyncio.sleep(0.35)
-        world.gateways["a"].deaf = set()
+        world.gateways["a"].unreachable = set()
         world.set_path("b", Path.REFUSE)
         longest = await world.watch_lag("abc", for_s=8.0)
         assert max(longest.values()) < BOUND_S, longest
 
     async def run_scenario(world: HallWorld) -> None:
-        await run_beside(world.keep_applying(0.3), scenario(world))
+        await run_with_background(world.keep_applying(0.3), scenario(world))
 
     _run_one_hall(monkeypatch, run_scenario)
 
@@ -77,11 +77,11 @@
     """No later change follows that would reveal or deliver the missed one."""
 
     async def scenario(world: HallWorld) -> None:
-        world.gateways["a"].deaf = {"b"}
+        world.gateways["a"].unreachable = {"b"}
         world.set_path("b", Path.REFUSE)
         world.apply()
         await asyncio.sleep(0.3)
-        world.gateways["a"].deaf = set()
+        world.gateways["a"].unreachable = set()
         longest = await world.watch_lag("abc", for_s=8.0)
         assert max(longest.values()) < BOUND_S, longest
 
@@ -101,7 +101,7 @@
         assert max(longest.values()) < BOUND_S, longest
 
     async def run_scenario(world: HallWorld) -> None:
-        await run_beside(world.keep_applying(0.8), scenario(world))
+        await run_with_background(world.keep_applying(0.8), scenario(world))
 
     _run_one_hall(monkeypatch, run_scenario)
 
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.hall_world import HallWorld, WorldGateway, use_world
+from tests.hall_world import HallWorld, SimulatedGateway, use_world
 from tests.late_chains import BOUND_S
 from tests.virtual_time import run_virtual
 
@@ -41,12 +41,14 @@
     world.store.fault = "none"
 
 
-def _run_with_restore(monkeypatch: pytest.MonkeyPatch, delay_s: float) -> dict[str, WorldGateway]:
+def _run_with_restore(
+    monkeypatch: pytest.MonkeyPatch, delay_s: float
+) -> dict[str, SimulatedGateway]:
     """Restore the store, wait, then change the configuration and announce a leaving upstream."""
     world = HallWorld()
     use_world(world, monkeypatch)
 
-    async def main() -> dict[str, WorldGateway]:
+    async def main() -> dict[str, SimulatedGateway]:
         world.apply()
         world.write_upstream(UPSTREAM, "ready")
         for name in GATEWAYS:
--- a/tests/test_what_gateways_learn.py
+++ b/tests/test_what_gateways_learn.py
@@ -19,7 +19,7 @@
 import pytest
 
 from dalehollow.gateway.contact import LAPSE_GRACE_S
-from tests.hall_world import HallWorld, Path, Scenario, play_halls, run_beside
+from tests.hall_world import HallWorld, Path, Scenario, run_halls, run_with_background
 from tests.late_chains import BOUND_S
 
 GATEWAYS, REMOTE_GATEWAYS = "abc", "xyz"
@@ -28,7 +28,7 @@
 
 def _run_two_halls(monkeypatch: pytest.MonkeyPatch, scenario: Scenario) -> None:
     """Run a scenario with two halls and one upstream."""
-    play_halls(
+    run_halls(
         monkeypatch,
         scenario,
         {"hall": GATEWAYS, "other": REMOTE_GATEWAYS},
@@ -58,7 +58,7 @@
                 await _refuse_calls(world, names, for_s)
                 await asyncio.sleep(1.0)
 
-        refusals = run_beside(world.keep_applying(0.9), refuse_repeatedly())
+        refusals = run_with_background(world.keep_applying(0.9), refuse_repeatedly())
         lag_watch = world.watch_lag(GATEWAYS + REMOTE_GATEWAYS, for_s=sum(refusals_s))
         longest, _ = await asyncio.gather(lag_watch, refusals)
         assert max(longest.values()) < BOUND_S, (names, refusals_s, longest)
@@ -71,11 +71,11 @@
     """Refuse the store calls of one gateway, and drop datagrams to it while an upstream leaves."""
     world.set_path("b", Path.REFUSE)
     for other in "ac":
-        world.gateways[other].deaf = {"b"}
+        world.gateways[other].unreachable = {"b"}
     world.write_upstream(UPSTREAM, "draining")
     await asyncio.sleep(0.2)
     for other in "ac":
-        world.gateways[other].deaf = set()
+        world.gateways[other].unreachable = set()
 
 
 async def _refuse_calls_of_a_hall(world: HallWorld) -> None:
