--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the systems that dalehollow serves: platform, engines and plain services."""
+"""Simulate the systems around dalehollow: platform, metadata store, engines and plain services."""
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,6 +1,7 @@
-"""Stand in for a model engine: continuous batching in steps, priorities, cancel, streams.
+"""Simulate a model engine: continuous batching in steps, priorities, cancellation and streaming.
 
-Each answer is made of its own prompt's digest, so that a test can tell whose answer it got.
+Tokens are derived from a digest of the prompt, so that a test can detect the response to another
+request.
 """
 
 from __future__ import annotations
@@ -21,28 +22,28 @@
 from dalehollow.web import HttpRequest, HttpResponse, HttpServer
 from standins.serving import serve_until_signal
 
-RANKS = {"urgent": 0, "normal": 1, "background": 2}
+PRIORITY_RANKS = {"urgent": 0, "normal": 1, "background": 2}
 DEFAULT_MAX_TOKENS = 16
 
 
 def make_token(prompt: str, idx: int) -> str:
-    """Return the token at a place of the answer to a prompt."""
+    """Return the token at the given index of the response to a prompt."""
     return hashlib.sha256(prompt.encode()).hexdigest()[:8] + f"-{idx} "
 
 
 @dataclass(order=True)
 class _Sequence:
-    rank: int
-    number: int
+    priority_rank: int
+    arrival_number: int
     prompt: str = field(compare=False)
-    left: int = field(compare=False)
-    done: int = field(default=0, compare=False)
+    remaining_tokens: int = field(compare=False)
+    generated_tokens: int = field(default=0, compare=False)
     cancelled: bool = field(default=False, compare=False)
     tokens: queue.SimpleQueue[str | None] = field(default_factory=queue.SimpleQueue, compare=False)
 
 
 class EngineStandIn:
-    """Hold the waiting and running sequences; one thread runs the steps."""
+    """Batch waiting and running sequences; a single thread executes the steps."""
 
     def __init__(self, slots: int, step_ms: float) -> None:
         self.slots = slots
@@ -50,11 +51,11 @@
         self.started = 0
         self.cancelled = 0
         self.finished = 0
-        self.worst_in_flight = 0
+        self.max_in_flight = 0
         self.tokens_made = 0
         self._waiting: list[_Sequence] = []
         self._running: list[_Sequence] = []
-        self._numbers = itertools.count()
+        self._arrival_numbers = itertools.count()
         self._changed = threading.Condition()
         threading.Thread(target=self._run_steps, name="engine", daemon=True).start()
 
@@ -63,8 +64,8 @@
             return HttpResponse(200, {}, json.dumps(self.stats()).encode())
         body = json.loads(req.body)
         prompt = body["messages"][-1]["content"]
-        rank = RANKS.get(req.headers.get("x-request-priority", "normal"), 1)
-        sequence = self._add(prompt, rank, int(body.get("max_tokens", DEFAULT_MAX_TOKENS)))
+        priority_rank = PRIORITY_RANKS.get(req.headers.get("x-request-priority", "normal"), 1)
+        sequence = self._add(prompt, priority_rank, int(body.get("max_tokens", DEFAULT_MAX_TOKENS)))
         if body.get("stream"):
             headers = {"content-type": "text/event-stream"}
             return HttpResponse(200, headers, self._stream(sequence))
@@ -80,17 +81,17 @@
                 "finished": self.finished,
                 "running": len(self._running),
                 "waiting": len(self._waiting),
-                "worst_in_flight": self.worst_in_flight,
+                "worst_in_flight": self.max_in_flight,
                 "tokens_made": self.tokens_made,
             }
 
-    def _add(self, prompt: str, rank: int, max_tokens: int) -> _Sequence:
+    def _add(self, prompt: str, priority_rank: int, max_tokens: int) -> _Sequence:
         with self._changed:
-            sequence = _Sequence(rank, next(self._numbers), prompt, max_tokens)
+            sequence = _Sequence(priority_rank, next(self._arrival_numbers), prompt, max_tokens)
             heapq.heappush(self._waiting, sequence)
             self.started += 1
             in_flight = len(self._running) + len(self._waiting)
-            self.worst_in_flight = max(self.worst_in_flight, in_flight)
+            self.max_in_flight = max(self.max_in_flight, in_flight)
             self._changed.notify_all()
             return sequence
 
@@ -123,16 +124,16 @@
                 self._step()
 
     def _fill_batch(self) -> None:
-        """Take the most urgent sequences; a running one yields its slot to a more urgent one."""
+        """Fill the slots by priority, preempting running sequences of lower priority."""
         while self._waiting and len(self._running) < self.slots:
             self._running.append(heapq.heappop(self._waiting))
         while self._waiting and self._running:
-            worst = max(self._running)
-            if self._waiting[0].rank >= worst.rank:
+            lowest = max(self._running)
+            if self._waiting[0].priority_rank >= lowest.priority_rank:
                 return
-            self._running.remove(worst)
+            self._running.remove(lowest)
             self._running.append(heapq.heappop(self._waiting))
-            heapq.heappush(self._waiting, worst)
+            heapq.heappush(self._waiting, lowest)
 
     def _step(self) -> None:
         for sequence in list(self._running):
@@ -140,18 +141,18 @@
                 self._running.remove(sequence)
                 self.cancelled += 1
                 continue
-            sequence.tokens.put(make_token(sequence.prompt, sequence.done))
-            sequence.done += 1
+            sequence.tokens.put(make_token(sequence.prompt, sequence.generated_tokens))
+            sequence.generated_tokens += 1
             self.tokens_made += 1
-            sequence.left -= 1
-            if sequence.left <= 0:
+            sequence.remaining_tokens -= 1
+            if sequence.remaining_tokens <= 0:
                 sequence.tokens.put(None)
                 self._running.remove(sequence)
                 self.finished += 1
 
 
 def main(slots: int = 8, step_ms: float = 6.0, host: str = "127.0.0.1", port: int = 0) -> None:
-    """Serve the stand-in."""
+    """Serve the simulated engine."""
     engine = EngineStandIn(slots, step_ms)
     serve_until_signal(HttpServer(host, port, engine.handle, name="engine"))
 
--- a/standins/keyvalue.py
+++ b/standins/keyvalue.py
@@ -1,9 +1,10 @@
-"""Stand in for the platform's key-value service and VM list, with faults on command.
+"""Simulate the platform's key-value service and VM list, with fault injection.
 
 GET /kv/KEY[?after=REVISION&wait_ms=N], PUT /kv/KEY?expect=REVISION[&ttl_ms=N],
 DELETE /kv/KEY.
 GET /vms lists VMs as [{"name": NAME, "state": "live" | "leaving"}]; PUT /vms replaces the list.
-PUT /fault with {"mode": "none" | "down" | "lose_answer" | "late_write", "count": N} sets a fault.
+PUT /fault with {"mode": "none" | "down" | "lose_answer" | "late_write", "count": N} injects a
+fault into the next N calls. Mode `late_write` has no effect.
 """
 
 from __future__ import annotations
@@ -29,13 +30,13 @@
 
 
 class KeyValueStandIn:
-    """Hold the keys, the fault in force and the counts of calls."""
+    """Hold the keys, the VM list, the active fault and call counts by operation."""
 
     def __init__(self) -> None:
         self.calls: Counter[str] = Counter()
         self.vms: list[dict[str, str]] = []
         self.mode = "none"
-        self.mode_count = 0
+        self.remaining_faults = 0
         self._items: dict[str, _Item] = {}
         self._revision = 0
         self._changed = threading.Condition()
@@ -45,7 +46,7 @@
             return self._set_fault(json.loads(req.body))
         if req.path == "/calls":
             return HttpResponse(200, {}, json.dumps(self.calls).encode())
-        fault = self._take_fault()
+        fault = self._consume_fault()
         if req.path == "/vms":
             return self._list_vms(req, fault)
         self.calls[f"{req.method} {req.path.split('/')[2]}"] += 1
@@ -63,7 +64,7 @@
         return HttpResponse(500, {}, b"") if fault == "lose_answer" else response
 
     def _list_vms(self, req: HttpRequest, fault: str) -> HttpResponse:
-        """Answer the list, or replace it with PUT."""
+        """Return the VM list, or replace it on PUT."""
         if req.method == "PUT":
             self.vms = json.loads(req.body)
             return HttpResponse(200, {}, b"")
@@ -78,17 +79,17 @@
 
     def set_fault(self, mode: str, count: int = 1_000_000) -> None:
         with self._changed:
-            self.mode, self.mode_count = mode, count
+            self.mode, self.remaining_faults = mode, count
 
     def _set_fault(self, fault: dict[str, object]) -> HttpResponse:
         self.set_fault(str(fault["mode"]), int(str(fault.get("count", 1_000_000))))
         return HttpResponse(200, {}, b"")
 
-    def _take_fault(self) -> str:
+    def _consume_fault(self) -> str:
         with self._changed:
-            if self.mode_count <= 0:
+            if self.remaining_faults <= 0:
                 return "none"
-            self.mode_count -= 1
+            self.remaining_faults -= 1
             return self.mode
 
     def _get(self, key: str, after: int, wait_ms: int) -> HttpResponse:
@@ -96,10 +97,10 @@
         with self._changed:
             while True:
                 item = self._find(key)
-                left_s = deadline_s - read_clock()
-                if (item is not None and item.revision > after) or left_s <= 0:
+                remaining_s = deadline_s - read_clock()
+                if (item is not None and item.revision > after) or remaining_s <= 0:
                     break
-                self._changed.wait(left_s)
+                self._changed.wait(remaining_s)
         if item is None:
             return HttpResponse(404, {}, b"")
         return HttpResponse(200, {"kv-revision": str(item.revision)}, item.value)
@@ -107,9 +108,9 @@
     def _put(self, key: str, value: bytes, expect: int, ttl_ms: str | None) -> HttpResponse:
         with self._changed:
             item = self._find(key)
-            found = item.revision if item is not None else 0
-            if found != expect:
-                return HttpResponse(409, {"kv-revision": str(found)}, b"")
+            current_revision = item.revision if item is not None else 0
+            if current_revision != expect:
+                return HttpResponse(409, {"kv-revision": str(current_revision)}, b"")
             self._revision += 1
             expires_at_s = read_clock() + int(ttl_ms) / 1000 if ttl_ms else None
             self._items[key] = _Item(value, self._revision, expires_at_s)
@@ -124,7 +125,7 @@
 
 
 def main(host: str = "127.0.0.1", port: int = 0) -> None:
-    """Serve the stand-in."""
+    """Serve the simulated key-value service."""
     serve_until_signal(HttpServer(host, port, KeyValueStandIn().handle, name="keyvalue"))
 
 
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -1,8 +1,9 @@
-"""Stand in for a plain service: it counts each run, and fails on command.
+"""Simulate a plain HTTP service that counts executions, with fault injection.
 
-PUT /_fault with {"mode": MODE, "count": N}, MODE one of `none`, `refuse` (status 503),
-`cut_before` (run, then close without an answer), `cut_answer` (run, then half an answer) and
-`hold` (run, then wait for PUT /_release). GET /_runs returns the runs of each request body.
+PUT /_fault with {"mode": MODE, "count": N} injects a fault into the next N requests. MODE is one of
+`none`, `refuse` (respond 503 without executing), `cut_before` (execute, then close the connection
+without a response), `cut_answer` (execute, then send half of the response) and `hold` (execute,
+then wait for PUT /_release). GET /_runs returns the number of executions of each request body.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 from standins.serving import serve_until_signal
 
 
-class CutError(ConnectionError):
-    """End a connection without a whole answer."""
+class TruncatedResponseError(ConnectionError):
+    """Report a response that fault injection truncated."""
 
 
 class PlainStandIn:
-    """Hold the counts of runs and the fault in force."""
+    """Hold execution counts by request body and the active fault."""
 
     def __init__(self) -> None:
         self.runs: Counter[str] = Counter()
         self.mode = "none"
-        self.mode_count = 0
-        self.holding = threading.Semaphore(0)
-        self.released = threading.Event()
+        self.remaining_faults = 0
+        self.held_requests = threading.Semaphore(0)
+        self.release_requested = threading.Event()
         self._lock = threading.Lock()
 
     def handle(self, req: HttpRequest) -> HttpResponse:
@@ -42,43 +43,43 @@
             self.set_fault(fault["mode"], fault.get("count", 1))
             return HttpResponse(200, {}, b"")
         if req.path == "/_release":
-            self.released.set()
+            self.release_requested.set()
             return HttpResponse(200, {}, b"")
         return self._run(req)
 
     def set_fault(self, mode: str, count: int = 1) -> None:
         with self._lock:
-            self.released.clear()
-            self.mode, self.mode_count = mode, count
+            self.release_requested.clear()
+            self.mode, self.remaining_faults = mode, count
 
     def _run(self, req: HttpRequest) -> HttpResponse:
         body = req.body.decode()
         with self._lock:
-            mode = self.mode if self.mode_count > 0 else "none"
-            self.mode_count -= 1
+            mode = self.mode if self.remaining_faults > 0 else "none"
+            self.remaining_faults -= 1
             if mode == "refuse":
                 return HttpResponse(503, {}, b"busy")
             self.runs[body] += 1
             run = self.runs[body]
         answer = {"method": req.method, "path": req.path, "request": body, "run": run}
-        whole = json.dumps(answer).encode()
+        payload = json.dumps(answer).encode()
         if mode == "hold":
-            self.holding.release()
-            self.released.wait(60)
+            self.held_requests.release()
+            self.release_requested.wait(60)
         if mode == "cut_before":
             req.disconnect()
         if mode == "cut_answer":
-            return HttpResponse(200, {}, _cut_after(whole[: len(whole) // 2]))
-        return HttpResponse(200, {"content-type": "application/json"}, whole)
+            return HttpResponse(200, {}, _send_truncated(payload[: len(payload) // 2]))
+        return HttpResponse(200, {"content-type": "application/json"}, payload)
 
 
-def _cut_after(sent: bytes) -> Iterator[bytes]:
-    yield sent
-    raise CutError("cut on command")
+def _send_truncated(prefix: bytes) -> Iterator[bytes]:
+    yield prefix
+    raise TruncatedResponseError("response truncated by fault injection")
 
 
 def main(host: str = "127.0.0.1", port: int = 0) -> None:
-    """Serve the stand-in."""
+    """Serve the simulated service."""
     serve_until_signal(HttpServer(host, port, PlainStandIn().handle, name="plain"))
 
 
