--- a/standins/hall.py
+++ b/standins/hall.py
@@ -1,4 +1,4 @@
-"""Run one hall on loopback and send it real requests of both deployments."""
+"""Run one hall on loopback and send it the example requests of both deployments."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def digest_key(key: str) -> str:
-    """Return how a configuration holds an account's key."""
+    """Return the SHA-256 digest of an account key, as configurations hold it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -60,20 +60,26 @@
     step_ms: float = 6.0,
     settings: dict[str, Any] | None = None,
 ) -> Hall:
-    """Start a hall, apply its configuration and wait until every entry serves it."""
-    more = settings or {}
+    """Start a hall, apply its configuration and wait until every process has activated it."""
+    extra_settings = settings or {}
     hall = Hall(launcher.start_standin("platform", "keyvalue"))
     for idx in range(engines):
         engine = launcher.start_standin(f"engine-{idx}", "engine", slots=slots, step_ms=step_ms)
         hall.engines.append(engine)
         name = f"model-{idx}"
-        hall.sidecars[name] = _start_sidecar(launcher, hall, name, engine.http, more)
+        hall.sidecars[name] = _start_sidecar(launcher, hall, name, engine.http, extra_settings)
     for name in plain:
         hall.plain[name] = launcher.start_standin(f"plain-{name}", "plain")
-        hall.sidecars[name] = _start_sidecar(launcher, hall, name, hall.plain[name].http, more)
+        hall.sidecars[name] = _start_sidecar(
+            launcher, hall, name, hall.plain[name].http, extra_settings
+        )
     for idx in range(entries):
         entry = launcher.start_process(
-            role="entry", name=f"entry-{idx}", hall="cmb-a", platform=hall.platform.http, **more
+            role="entry",
+            name=f"entry-{idx}",
+            hall="cmb-a",
+            platform=hall.platform.http,
+            **extra_settings,
         )
         hall.entries.append(entry)
     list_vms(hall)
@@ -82,7 +88,7 @@
 
 
 def list_vms(hall: Hall) -> None:
-    """Put the hall's entries and upstreams on the platform's VM list."""
+    """Publish the entries and upstreams of a hall in the VM list of the platform."""
     vms: list[dict[str, str]] = [{"name": name, "state": "live"} for name in hall.sidecars]
     vms += [
         {"name": e.name, "state": "live", "hall": "cmb-a", "entry_control": e.control}
@@ -94,7 +100,7 @@
 
 
 def _start_sidecar(
-    launcher: Launcher, hall: Hall, name: str, upstream_http: str, more: dict[str, Any]
+    launcher: Launcher, hall: Hall, name: str, upstream_http: str, extra_settings: dict[str, Any]
 ) -> Running:
     return launcher.start_process(
         role="sidecar",
@@ -103,12 +109,12 @@
         platform=hall.platform.http,
         upstream=name,
         upstream_http=upstream_http,
-        **more,
+        **extra_settings,
     )
 
 
 def make_config(hall: Hall, *, slots: int = 8, **service_fields: Any) -> dict[str, Any]:
-    """Return an operators' file for a started hall."""
+    """Return an operators' configuration file for a started hall."""
     upstreams = {
         name: {"hall": "cmb-a", "http": run.http, "control": run.control, "slots": slots}
         for name, run in hall.sidecars.items()
@@ -152,11 +158,11 @@
 
 
 def apply_config(hall: Hall, config: dict[str, Any]) -> int:
-    """Apply a configuration and wait until every process of the hall serves it."""
+    """Apply a configuration and wait until every process of the hall has activated it."""
     kv = HttpKeyValue(hall.platform.http)
     applied = apply_text(kv, json.dumps(config, indent=1), apply_id=f"demo-{time.time_ns()}")
     if isinstance(applied, Err):
-        raise RuntimeError(f"configuration was refused: {applied.err_value}")
+        raise RuntimeError(f"configuration rejected: {applied.err_value}")
     version = applied.ok_value.manifest.version
     for process in [*hall.entries, *hall.sidecars.values()]:
         wait_for_version(process, version)
@@ -164,20 +170,20 @@
 
 
 def wait_for_version(process: Running, version: int) -> None:
-    """Wait until a process has a configuration version in force."""
+    """Wait until a process has activated a configuration version."""
     client = HttpClient(connect_timeout_s=1.0)
     deadline_s = read_clock() + _READY_TIMEOUT_S
-    wanted = f"dalehollow_config_version {version}"
+    metric_line = f"dalehollow_config_version {version}"
     while read_clock() < deadline_s:
         call = client.call("GET", process.http, "/dalehollow/metrics", timeout_s=2.0)
-        if not isinstance(call, Err) and wanted in call.ok_value.read().decode():
+        if not isinstance(call, Err) and metric_line in call.ok_value.read().decode():
             return
         time.sleep(_POLL_S)
-    raise RuntimeError(f"process {process.name!r} did not get version {version}")
+    raise RuntimeError(f"process {process.name!r} did not activate version {version} in time")
 
 
 def send_request(entry: Running, request: dict[str, Any]) -> dict[str, Any]:
-    """Send one request, read its whole answer and return what came of it."""
+    """Send one request, read the complete response and return a summary of it."""
     headers = {
         "authorization": f"Bearer {ACCOUNT_KEYS[request['account']]}",
         "dalehollow-priority": request["priority"],
@@ -214,8 +220,8 @@
     }
 
 
-def _is_own_whole(request: dict[str, Any], result: dict[str, Any]) -> bool:
-    """Return whether an answer is whole and answers this request."""
+def _is_expected_response(request: dict[str, Any], result: dict[str, Any]) -> bool:
+    """Return whether a response is complete and belongs to the request."""
     from standins.engine import make_token
 
     if result["status"] != 200 or result["verdict"] != "RAN":
@@ -237,23 +243,25 @@
 
 
 def run(log: str | None = None) -> None:
-    """Bring a hall up, send the example requests, print a line for each and stop."""
+    """Start a hall, send the example requests, print a line for each response and stop."""
     requests = parse_jsonc(REQUESTS_PATH.read_text())[0]
     failures = 0
     with Launcher(log) as launcher:
         hall = start_hall(launcher, settings={"leave_ms": 100})
         for idx, request in enumerate(requests):
             result = send_request(hall.entries[idx % len(hall.entries)], request)
-            whole = _is_own_whole(request, result)
-            failures += not whole
+            is_expected = _is_expected_response(request, result)
+            failures += not is_expected
             pairs = {k: v for k, v in result.items() if k != "body"}
-            print(" ".join(f"{k}={v}" for k, v in pairs.items()), f"own_whole={whole}".lower())
+            print(
+                " ".join(f"{k}={v}" for k, v in pairs.items()), f"own_whole={is_expected}".lower()
+            )
     print(f"requests={len(requests)} failures={failures}")
     sys.exit(1 if failures else 0)
 
 
 def serve(log: str | None = None) -> None:
-    """Keep a hall up until Ctrl-C, then drain it."""
+    """Run a hall until SIGINT or SIGTERM, then stop its processes gracefully."""
     stopping = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stopping.set())
--- a/standins/metadata.py
+++ b/standins/metadata.py
@@ -1,6 +1,6 @@
-"""Stand in for the users' metadata store: items, ranges, watches, transactions and leases.
+"""Simulate the users' metadata store: items, ranges, watches, transactions and leases.
 
-It speaks the published protocol over HTTP in the caller's event loop, and fails on command.
+Implements the published HTTP protocol on the running event loop, with fault injection.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 @dataclass
 class _Lease:
-    """Hold how long a lease lasts and until when, on the event loop's clock."""
+    """Hold the duration of a lease and its expiry on the event loop's clock."""
 
     ttl_s: float
-    until_s: float
+    expires_at_s: float
 
 
 @dataclass
@@ -37,8 +37,8 @@
 
 
 @dataclass(frozen=True)
-class _Copy:
-    """Hold what a store can be restored from."""
+class _Backup:
+    """Hold a backup from which the store can be restored."""
 
     items: dict[str, _Item]
     leases: dict[int, _Lease]
@@ -46,10 +46,10 @@
 
 
 class MetadataStandIn:
-    """Hold the items, their changes and the fault in force.
+    """Hold the items, the history of changes, the leases and the active fault.
 
-    `fault` is `none`, `busy` (503), `silent` (no answer) or `lost` (done, then the connection is
-    closed without an answer).
+    `fault` is `none`, `busy` (respond 503), `silent` (never respond) or `lost` (execute the call,
+    then close the connection without a response).
     """
 
     def __init__(self) -> None:
@@ -59,14 +59,14 @@
         self.unheard: list[str] = []
         self.items: dict[str, _Item] = {}
         self.revision = 1
-        self.oldest_kept = 0
-        # How often it was restored; sent with each answer.
+        self.oldest_watchable_revision = 0
+        # Incremented by each restore and sent with each response.
         self.era = 1
         self._events: list[tuple[int, str, bytes | None]] = []
         self._leases: dict[int, _Lease] = {}
         self._lease_ids = itertools.count(1)
         self._changed = asyncio.Event()
-        self._copy = _Copy({}, {}, self.revision)
+        self._backup = _Backup({}, {}, self.revision)
 
     async def handle(self, caller: CallerConnection, request: CallerRequest) -> None:
         path, _, query_text = request.target.decode().partition("?")
@@ -75,7 +75,7 @@
             self.unheard.append(request.target.decode())
             await asyncio.Event().wait()
         if self.fault == "busy":
-            caller.send_whole(503, self._list_headers(), b"")
+            caller.send_whole(503, self._make_headers(), b"")
             return
         query = {k: v[0] for k, v in parse_qs(query_text, keep_blank_values=True).items()}
         body = msgspec.json.decode(request.body) if request.body else {}
@@ -83,67 +83,67 @@
         if self.fault == "lost":
             caller.cut()
             return
-        caller.send_whole(status, self._list_headers(), msgspec.json.encode(answer))
+        caller.send_whole(status, self._make_headers(), msgspec.json.encode(answer))
 
     def put(self, key: str, value: bytes, lease: int = 0) -> None:
-        """Write an item as the operator or a server would."""
+        """Write an item on behalf of an operator or a server."""
         self.revision += 1
         before = self.items.get(key)
         created = before.created if before is not None else self.revision
         self.items[key] = _Item(value, self.revision, created, lease)
-        self._tell(key, value)
+        self._record_event(key, value)
 
     def delete(self, key: str) -> None:
         """Delete an item."""
         if self.items.pop(key, None) is not None:
             self.revision += 1
-            self._tell(key, None)
+            self._record_event(key, None)
 
     def forget_history(self) -> None:
-        """Drop what watches could still ask for."""
-        self.oldest_kept = self.revision
-        self._wake()
+        """Make watches from earlier revisions fail with 410, as if the history were discarded."""
+        self.oldest_watchable_revision = self.revision
+        self._notify_watchers()
 
     def take_copy(self) -> None:
-        """Keep what stands here now, for `restore`."""
+        """Back up the current items, leases and revision for `restore`."""
         items, leases = copy.deepcopy(self.items), copy.deepcopy(self._leases)
-        self._copy = _Copy(items, leases, self.revision)
+        self._backup = _Backup(items, leases, self.revision)
 
     def restore(self) -> None:
-        """Go back to the copy; what was written since is lost, its revisions are given out anew."""
-        self.items = copy.deepcopy(self._copy.items)
-        self._leases = copy.deepcopy(self._copy.leases)
-        self.revision = self._copy.revision
+        """Restore the backup; later writes are lost and their revision numbers are reused."""
+        self.items = copy.deepcopy(self._backup.items)
+        self._leases = copy.deepcopy(self._backup.leases)
+        self.revision = self._backup.revision
         self._events = [event for event in self._events if event[0] <= self.revision]
         self.era += 1
-        self._wake()
+        self._notify_watchers()
 
     def end_lease(self, lease: int) -> None:
-        """End a lease and what stands under it."""
+        """End a lease and delete the items attached to it."""
         self._leases.pop(lease, None)
         for key in [k for k, item in self.items.items() if item.lease == lease]:
             self.delete(key)
 
     def end_lapsed_leases(self) -> None:
-        """End the leases whose time is over; nothing else does."""
+        """End expired leases; leases do not expire unless this is called."""
         now_s = asyncio.get_running_loop().time()
-        for lease, known in list(self._leases.items()):
-            if now_s > known.until_s:
+        for lease, state in list(self._leases.items()):
+            if now_s > state.expires_at_s:
                 self.end_lease(lease)
 
     def end_all_leases(self) -> None:
-        """End every lease, as a long outage would."""
+        """End every lease, as a long outage does."""
         for lease in list(self._leases):
             self.end_lease(lease)
 
-    def _tell(self, key: str, value: bytes | None) -> None:
+    def _record_event(self, key: str, value: bytes | None) -> None:
         self._events.append((self.revision, key, value))
-        self._wake()
+        self._notify_watchers()
 
-    def _list_headers(self) -> list[tuple[bytes, bytes]]:
+    def _make_headers(self) -> list[tuple[bytes, bytes]]:
         return [(b"store-era", str(self.era).encode())]
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -167,8 +167,8 @@
         if method == b"DELETE":
             self.end_lease(lease)
         else:
-            known = self._leases[lease]
-            known.until_s = asyncio.get_running_loop().time() + known.ttl_s
+            state = self._leases[lease]
+            state.expires_at_s = asyncio.get_running_loop().time() + state.ttl_s
         return 200, {}
 
     def _range(self, prefix: str) -> dict[str, Any]:
@@ -182,7 +182,7 @@
         try:
             async with asyncio.timeout(int(query["waitMs"]) / 1000):
                 while True:
-                    if not self.oldest_kept <= after <= self.revision:
+                    if not self.oldest_watchable_revision <= after <= self.revision:
                         return 410, {}
                     found = [e for e in self._events if e[0] > after and e[1].startswith(prefix)]
                     if found:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,6 +1,6 @@
-"""Run gateways as processes on loopback, before a store and servers that stand in for the users'.
+"""Run gateway processes on loopback, in front of a simulated store and simulated servers.
 
-python -m standins.platform run      serves some requests of every kind, prints them, and stops
+python -m standins.platform run      send requests of every kind, print the responses, and stop
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass
 class GatewayProcess:
-    """Hold one started gateway and what it printed of its addresses."""
+    """Hold a started gateway process and the addresses it logged at its start."""
 
     process: asyncio.subprocess.Process
     settings_path: Path
@@ -39,23 +39,23 @@
     metrics: str
 
     async def stop(self) -> int:
-        """Stop it as planned and return its exit code."""
+        """Stop the gateway gracefully and return its exit code."""
         if self.process.returncode is None:
             self.process.terminate()
         return await self.process.wait()
 
 
 async def listen(handler: Handler, connections: set[CallerConnection] | None = None) -> str:
-    """Serve on a free port of loopback and return the address."""
-    kept: set[CallerConnection] = connections if connections is not None else set()
+    """Serve on a free loopback port and return the address."""
+    open_connections: set[CallerConnection] = connections if connections is not None else set()
     server = await asyncio.get_running_loop().create_server(
-        lambda: CallerConnection(handler, lambda: _LIMITS, kept), "127.0.0.1", 0
+        lambda: CallerConnection(handler, lambda: _LIMITS, open_connections), "127.0.0.1", 0
     )
     return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
 
 def make_configuration(version: int = 1) -> bytes:
-    """Return a configuration with a repeatable, a payment and a stream route."""
+    """Return a configuration with a safe, an unsafe and a streaming route."""
     route = {"host": HOST, "service": "desk", "timeoutMs": 5000, "targetLatencyMs": 400}
     return msgspec.json.encode(
         {
@@ -84,7 +84,7 @@
 
 
 async def list_servers(store: MetadataStandIn, incarnations: Sequence[str]) -> list[ServerStandIn]:
-    """Start servers and write their entries."""
+    """Start servers and register them in the store."""
     servers = []
     for incarnation in incarnations:
         server = ServerStandIn(incarnation)
@@ -107,7 +107,7 @@
     program: Sequence[str] = ("-m", "dalehollow", "run"),
     **changes: object,
 ) -> GatewayProcess:
-    """Start a gateway and wait until it listens; its log goes on where an earlier one ended."""
+    """Start a gateway and wait until it listens; its log is appended to an existing one."""
     settings = {
         "role": "gateway",
         "name": name,
@@ -121,11 +121,11 @@
     path, log_path = directory / f"{name}.json", directory / f"{name}.log"
     path.write_text(json.dumps(settings))
     with log_path.open("ab") as log:
-        begun_at = log.tell()
+        log_offset_bytes = log.tell()
         process = await asyncio.create_subprocess_exec(
             sys.executable, *program, str(path), stdout=log, stderr=log
         )
-    started = await _await_line(log_path, begun_at, "event=started", process)
+    started = await _wait_for_log_line(log_path, log_offset_bytes, "event=started", process)
     pairs = dict(word.split("=", 1) for word in started.split() if "=" in word)
     return GatewayProcess(process, path, log_path, pairs["http"], pairs["ready"], pairs["metrics"])
 
@@ -134,7 +134,7 @@
 async def start_gateway(
     store_address: str, name: str, directory: Path, **changes: object
 ) -> AsyncIterator[GatewayProcess]:
-    """Start a gateway and wait until it listens; it is ended with the context."""
+    """Start a gateway and wait until it listens; kill it when the context exits."""
     gateway = await launch_gateway(store_address, name, directory, **changes)  # type: ignore[arg-type]
     try:
         yield gateway
@@ -144,20 +144,20 @@
             await gateway.process.wait()
 
 
-async def _await_line(
-    path: Path, begun_at: int, mark: str, process: asyncio.subprocess.Process
+async def _wait_for_log_line(
+    path: Path, log_offset_bytes: int, text: str, process: asyncio.subprocess.Process
 ) -> str:
     while True:
-        for line in path.read_bytes()[begun_at:].decode().splitlines():
-            if mark in line:
+        for line in path.read_bytes()[log_offset_bytes:].decode().splitlines():
+            if text in line:
                 return line
         if process.returncode is not None:
-            raise RuntimeError(f"the process ended: {path.read_text()}")
+            raise RuntimeError(f"gateway process exited before it listened: {path.read_text()}")
         await asyncio.sleep(0.01)
 
 
 async def ask(address: str, path: str, request_id: str, method: str = "POST") -> tuple[int, bytes]:
-    """Send one request and return status and body."""
+    """Send one request and return the status and body of the response."""
     connection = await connect(address, _TIMEOUT_S)
     head = (
         f"{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Request-Id: {request_id}\r\n"
@@ -172,7 +172,7 @@
 
 
 async def wait_ready(gateway: GatewayProcess) -> None:
-    """Wait until a gateway calls itself ready."""
+    """Wait until the readiness endpoint of a gateway returns 200."""
     while (await ask(gateway.ready, "/ready", "r", "GET"))[0] != 200:
         await asyncio.sleep(0.01)
 
@@ -198,7 +198,7 @@
 
 
 def run() -> None:
-    """Serve some requests of every kind through two gateways, print them, and stop."""
+    """Send requests of every kind through two gateways, print the responses, and stop."""
     asyncio.run(asyncio.wait_for(_run(), _TIMEOUT_S * 3))
 
 
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Start and end the processes of a hall on loopback, for the examples, tests and benchmarks."""
+"""Start and stop the processes of a hall on loopback, for examples, tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass
 class Running:
-    """Hold one started process and the addresses that it printed."""
+    """Hold a started process and the addresses it printed at its start."""
 
     name: str
     popen: subprocess.Popen[str]
@@ -39,7 +39,7 @@
         self.popen.wait()
 
     def stop(self) -> int:
-        """Stop as planned and return the exit code."""
+        """Stop the process gracefully and return its exit code."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.terminate()
@@ -52,7 +52,7 @@
 
 @dataclass
 class Launcher:
-    """Hold the processes it started; use it as a context, which ends them all."""
+    """Start processes, and stop all of them when the context exits."""
 
     log_path: str | None = None
     running: list[Running] = field(default_factory=list)
@@ -85,11 +85,11 @@
         with open(self.log_path or "/dev/null", "a") as log:
             popen = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=log, text=True)
         assert popen.stdout is not None
-        # Log lines may come before it on the same output.
+        # Other log lines can precede the ready event on standard output.
         line = next((line for line in popen.stdout if line.startswith("event=ready")), "")
         if not line:
             popen.wait()
-            raise RuntimeError(f"process {name!r} ended before it was ready")
+            raise RuntimeError(f"process {name!r} exited before it was ready")
         pairs = dict(pair.split("=", 1) for pair in line.split())
         running = Running(name, popen, pairs)
         self.running.append(running)
--- a/standins/ranks.py
+++ b/standins/ranks.py
@@ -1,8 +1,8 @@
-"""Stand in for a rank group: ranks in lock-step on an expert map, with fenced orders.
+"""Simulate a rank group that executes steps in lock-step and accepts fenced orders.
 
-All ranks run in one process. A step takes as long as its slowest rank; a rank that is armed and
-not yet told the outcome holds the whole group before its step. The history of the maps that each
-rank used in each step is kept for the judge.
+All ranks run in one process. A step takes as long as its slowest rank. An armed rank that has not
+received the outcome of the vote blocks the next step of the whole group. The maps that the ranks
+used in each step are recorded, to detect steps in which ranks used different maps.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class RankGroupStandIn:
-    """Hold the ranks, the weight store's rate and the history of steps."""
+    """Hold the ranks, the load time of weights and the history of steps."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
             return [idx for idx, used in enumerate(self.history) if len(used) != 1]
 
     def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer the rank orders over HTTP."""
+        """Handle rank orders over HTTP."""
         _, _, rank, order = req.path.split("/")
         number = int(rank)
         answer: object
@@ -141,37 +141,37 @@
             rank.fence = order.fence
             planned = apply_changes(self.maps[order.base_digest], order.changes)
             self.maps[order.map_digest] = planned
-            mine = sum(change[1] == number for change in order.changes)
-            ready_at_s = read_clock() + mine * self.load_ms_per_weight / 1000
+            loads_on_rank = sum(change[1] == number for change in order.changes)
+            ready_at_s = read_clock() + loads_on_rank * self.load_ms_per_weight / 1000
             ready_at_s = rank.loaded.setdefault(order.map_digest, ready_at_s)
             return "loaded" if ready_at_s <= read_clock() else "loading"
 
     def _run(self) -> None:
         while True:
             with self._changed:
-                if not self._may_step():
-                    began_s = read_clock()
-                    self._changed.wait_for(lambda: self._stopping or self._may_step())
-                    self.waited_ms += (read_clock() - began_s) * 1000
+                if not self._can_step():
+                    wait_started_at_s = read_clock()
+                    self._changed.wait_for(lambda: self._stopping or self._can_step())
+                    self.waited_ms += (read_clock() - wait_started_at_s) * 1000
                 if self._stopping:
                     return
                 step_s = self._step() / 1000
             time.sleep(step_s)
 
-    def _may_step(self) -> bool:
+    def _can_step(self) -> bool:
         return all(may_start_step(r.ledger) and not r.is_stalled for r in self.ranks)
 
     def _step(self) -> float:
-        """Run one step on every rank and return how long the slowest takes."""
+        """Execute one step on every rank and return the duration of the slowest in ms."""
         used = [next_step_digest(rank.ledger) for rank in self.ranks]
-        longest = mean = 0.0
+        max_load = mean_load = 0.0
         for layer, demand in enumerate(self.demand):
             loads = rank_loads(self.maps[used[0]].layers[layer], demand)
-            longest += max(loads)
-            mean += sum(loads) / len(loads)
+            max_load += max(loads)
+            mean_load += sum(loads) / len(loads)
             self._count(layer, demand, used[0])
         self.history.append(frozenset(used))
-        step_ms = self.step_ms * longest / mean
+        step_ms = self.step_ms * max_load / mean_load
         self.times_ms.append(step_ms)
         for rank in self.ranks:
             rank.step_ms = step_ms
@@ -179,21 +179,21 @@
         return step_ms
 
     def _count(self, layer: int, demand: Sequence[float], digest: str) -> None:
-        """Count each expert's tokens at the first rank that holds it."""
-        holders: dict[int, int] = {}
+        """Count the tokens of each expert at the first rank that holds it."""
+        first_holders: dict[int, int] = {}
         for number, experts in enumerate(self.maps[digest].layers[layer]):
             for expert in experts:
-                holders.setdefault(expert, number)
+                first_holders.setdefault(expert, number)
         for expert, tokens in enumerate(demand):
-            counts = self.ranks[holders[expert]].counts
-            noisy = max(0, round(self._rng.gauss(tokens, tokens**0.5)))
-            counts[(layer, expert)] = counts.get((layer, expert), 0) + noisy
+            counts = self.ranks[first_holders[expert]].counts
+            sampled_tokens = max(0, round(self._rng.gauss(tokens, tokens**0.5)))
+            counts[(layer, expert)] = counts.get((layer, expert), 0) + sampled_tokens
 
 
 def main(
     ranks: int = 4, experts: int = 16, slots: int = 5, layers: int = 2, step_ms: float = 6.0
 ) -> None:
-    """Serve a group whose demand changes on PUT /demand, and whose history GET /history tells."""
+    """Serve a group; PUT /demand sets its demand and GET /history returns its history."""
     rng = random.Random(1)
     demand = [[rng.expovariate(1.0) * 20_000 for _ in range(experts)] for _ in range(layers)]
     group = RankGroupStandIn(demand, ranks, slots, step_ms=step_ms)
@@ -205,14 +205,14 @@
             return HttpResponse(200)
         if req.path == "/history":
             ledgers = [group.read(rank).ledger for rank in range(ranks)]
-            told = {
+            group_history = {
                 "steps": group.steps(),
                 "mixed_steps": group.mixed_steps(),
                 "versions": [ledger.version for ledger in ledgers],
                 "waited_ms": group.waited_ms,
                 "last_step_ms": group.times_ms[-1] if group.times_ms else 0.0,
             }
-            return HttpResponse(200, {}, msgspec.json.encode(told))
+            return HttpResponse(200, {}, msgspec.json.encode(group_history))
         return group.handle(req)
 
     serve_until_signal(HttpServer("127.0.0.1", 0, handle, name="ranks"))
--- a/standins/server.py
+++ b/standins/server.py
@@ -1,7 +1,7 @@
-"""Stand in for the users' servers: plain answers and streams of events, with faults on command.
+"""Simulate the users' servers: plain responses and event streams, with fault injection.
 
-Each request takes the next of the `ways` given, or answers well. It speaks the published protocol
-in the caller's event loop, and keeps what it ran.
+Each request takes the next of the configured `ways`; without one, the server responds normally.
+Implements the published protocol on the running event loop and records the requests it executed.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Way(enum.StrEnum):
-    """Name the ways in which a server may answer."""
+    """List how a server can respond to a request."""
 
     WELL = "well"
     ERROR = "error"
@@ -34,45 +34,45 @@
 
 
 def make_event(number: int) -> bytes:
-    """Return one event of a stream, the same at every server."""
+    """Return one event of a stream; every server returns the same events."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
 def whole_stream() -> bytes:
-    """Return what a caller of a stream must get."""
+    """Return the complete body of a stream."""
     return b"".join(make_event(number) for number in range(1, EVENTS + 1))
 
 
 @dataclass
 class ServerStandIn:
-    """Hold what a server ran and how it answers next."""
+    """Hold the requests a server received and executed, and its next responses."""
 
     incarnation: str
     ways: list[Way] = field(default_factory=list)
-    # Headers of all its answers, for what it says of itself.
+    # Additional headers of every response, such as the load and limit that a server reports.
     says: list[tuple[bytes, bytes]] = field(default_factory=list)
-    # The body of requests that crash whoever begins to run them, and what is called then.
+    # A request with this body crashes the server when execution begins, and calls `on_crash`.
     crashed_by: bytes = b""
     on_crash: Callable[[], None] = lambda: None
-    # Pause before each event of a stream, and before a plain answer.
+    # Delay before each event of a stream and before a plain response.
     pace_s: float = 0.0
     seen: list[CallerRequest] = field(default_factory=list)
     runs: list[str] = field(default_factory=list)
     cancelled: list[str] = field(default_factory=list)
     reached: asyncio.Event = field(default_factory=asyncio.Event)
     left: asyncio.Event = field(default_factory=asyncio.Event)
-    _in_hand: set[CallerConnection] = field(default_factory=set)
+    _open_connections: set[CallerConnection] = field(default_factory=set)
 
     async def handle(self, caller: CallerConnection, request: CallerRequest) -> None:
-        self._in_hand.add(caller)
+        self._open_connections.add(caller)
         try:
             await self._answer(caller, request)
         finally:
-            self._in_hand.discard(caller)
+            self._open_connections.discard(caller)
 
     def crash(self) -> None:
-        """Cut off all that is in hand; whoever starts it again is told."""
-        for caller in list(self._in_hand):
+        """Abort every open connection and call `on_crash`."""
+        for caller in list(self._open_connections):
             caller.cut()
         self.on_crash()
 
@@ -83,16 +83,20 @@
         request_id = (request.get(b"x-request-id") or b"").decode()
         if request.get(b"x-expect-instance") != self.incarnation.encode():
             way = Way.OTHER_SERVER
-        head = [(b"x-request-id", request_id.encode()), (b"x-response-seal", b"seal"), *self.says]
+        response_headers = [
+            (b"x-request-id", request_id.encode()),
+            (b"x-response-seal", b"seal"),
+            *self.says,
+        ]
         if way is Way.OTHER_SERVER:
-            named = (b"x-instance-id", self.incarnation.encode())
-            caller.send_whole(421, [named, *self.says], b"")
+            instance_header = (b"x-instance-id", self.incarnation.encode())
+            caller.send_whole(421, [instance_header, *self.says], b"")
             return
         if way in (Way.REFUSE, Way.REFUSE_BROKEN):
-            refused = [(b"x-not-executed", b"1"), *self.says]
+            refusal_headers = [(b"x-not-executed", b"1"), *self.says]
             if way is Way.REFUSE_BROKEN:
-                refused.append((b"at-server", b"another"))
-            caller.send_whole(503, refused, b"")
+                refusal_headers.append((b"at-server", b"another"))
+            caller.send_whole(503, refusal_headers, b"")
             return
         self.runs.append(request_id)
         if self.crashed_by and request.body == self.crashed_by:
@@ -107,44 +111,44 @@
         if way is Way.CUT_UNANSWERED:
             caller.cut()
         elif way is Way.ERROR:
-            caller.send_whole(500, head, b"failed")
+            caller.send_whole(500, response_headers, b"failed")
         elif b"stream" in request.target:
-            await self._stream(caller, request, head, way)
+            await self._stream(caller, request, response_headers, way)
         else:
-            await self._answer_plain(caller, head, way)
+            await self._answer_plain(caller, response_headers, way)
 
     async def _answer_plain(
-        self, caller: CallerConnection, head: list[tuple[bytes, bytes]], way: Way
+        self, caller: CallerConnection, response_headers: list[tuple[bytes, bytes]], way: Way
     ) -> None:
         await asyncio.sleep(self.pace_s)
         if way is Way.OTHERS_ANSWER_FIRST:
             other = [(b"x-request-id", b"other"), (b"x-response-seal", b"other")]
             caller.send_whole(200, other, b"another caller's")
         if way is Way.OTHERS_REFUSAL_FIRST:
-            refused = [(b"x-request-id", b"other"), (b"x-not-executed", b"1"), *self.says]
-            caller.send_whole(503, refused, b"")
-            head = head[:2]
+            refusal_headers = [(b"x-request-id", b"other"), (b"x-not-executed", b"1"), *self.says]
+            caller.send_whole(503, refusal_headers, b"")
+            response_headers = response_headers[:2]
         if way is Way.CUT_BODY:
-            caller.begin_stream(200, head, length=100)
+            caller.begin_stream(200, response_headers, length=100)
             await caller.send_piece(b"half")
             caller.cut()
             return
-        caller.send_whole(200, head, b"whole answer")
+        caller.send_whole(200, response_headers, b"whole answer")
         if way is Way.SURPLUS:
-            caller.send_whole(200, head, b"once more")
+            caller.send_whole(200, response_headers, b"once more")
 
     async def _stream(
         self,
         caller: CallerConnection,
         request: CallerRequest,
-        head: list[tuple[bytes, bytes]],
+        response_headers: list[tuple[bytes, bytes]],
         way: Way,
     ) -> None:
-        first = int(request.get(b"last-event-id") or b"0") + 1
-        head = [*head, (b"content-type", b"text/event-stream")]
-        caller.begin_stream(200, head, length=None)
-        for number in range(first, EVENTS + 1):
-            if way is Way.CUT_IN_EVENT and number == first + 2:
+        first_number = int(request.get(b"last-event-id") or b"0") + 1
+        response_headers = [*response_headers, (b"content-type", b"text/event-stream")]
+        caller.begin_stream(200, response_headers, length=None)
+        for number in range(first_number, EVENTS + 1):
+            if way is Way.CUT_IN_EVENT and number == first_number + 2:
                 await caller.send_piece(make_event(number)[:9])
                 caller.cut()
                 return
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""Run one stand-in as a process of its own."""
+"""Run a simulated service as a process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def serve_until_signal(server: HttpServer) -> None:
-    """Print the address, then serve until SIGTERM or SIGINT."""
+    """Print the address of the server, and serve until SIGTERM or SIGINT."""
     stopping = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stopping.set())
