--- a/soak/faults.py
+++ b/soak/faults.py
@@ -164,7 +164,7 @@
 
 
 async def _break_hall_store_connections(cluster: Cluster, fault: Fault) -> None:
-    """Break the store connections of all gateways in one hall."""
+    """Break the store connections of all gateways in one hall, but not in the other."""
     hall = _choose_gateway(cluster, fault).hall
     mode = FAULT_MODES[fault.target % len(FAULT_MODES)]
     gateways = [g for g in cluster.gateways.values() if g.hall == hall]
