--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -99,7 +99,7 @@
             violations.append(
                 Violation(
                     "recovery",
-                    f"{gateway.name} did not serve a request in {RECOVERY_TIMEOUT_S} s: {exc!r}",
+                    f"{gateway.name} served no request ({exc!r}) in {RECOVERY_TIMEOUT_S} s",
                 )
             )
     return violations
@@ -132,9 +132,9 @@
 
     Defects that need a particular order of faults are run with the named fault sequences.
     """
-    missed = [name for name in DEFECTS if not _find_defect(name, most)]
-    print(f"defects not detected: {', '.join(missed) or 'none'}")
-    raise SystemExit(bool(missed))
+    undetected = [name for name in DEFECTS if not _find_defect(name, most)]
+    print(f"defects not detected: {', '.join(undetected) or 'none'}")
+    raise SystemExit(bool(undetected))
 
 
 def _find_defect(name: str, max_seeds: int) -> bool:
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -240,13 +240,13 @@
 def _find_retry_times(history: RunHistory) -> Iterator[float]:
     """Yield the time of each arrival after the first with the same request ID."""
     arrivals = [
-        arrival
+        a
         for server, server_arrivals in history.arrivals.items()
         if server != TRAP_SERVER
-        for arrival in server_arrivals
+        for a in server_arrivals
     ]
     seen_ids: set[str] = set()
-    for arrival in sorted(arrivals, key=lambda arrival: arrival.at_s):
+    for arrival in sorted(arrivals, key=lambda a: a.at_s):
         if arrival.request_id in seen_ids:
             yield arrival.at_s
         seen_ids.add(arrival.request_id)
--- a/soak/world.py
+++ b/soak/world.py
@@ -47,11 +47,11 @@
 def make_configuration(version: int) -> bytes:
     """Return a configuration with a route that names its version."""
     route = {"host": ROUTE_HOST, "service": "desk", "timeoutMs": 4000, "targetLatencyMs": 400}
-    again = {**route, "maxAttempts": 2}
+    retried = {**route, "maxAttempts": 2}
     stream = {"kind": "streaming", "resumable": True, "maxAttempts": 3}
     routes = [
-        {**again, "name": "read", "pathPrefix": "/read/", "kind": "safe"},
-        {**again, "name": "pay", "pathPrefix": "/pay/", "kind": "unsafe"},
+        {**retried, "name": "read", "pathPrefix": "/read/", "kind": "safe"},
+        {**retried, "name": "pay", "pathPrefix": "/pay/", "kind": "unsafe"},
         {**route, "name": "stream", "pathPrefix": "/stream/", **stream},
         {**route, "name": "version", "pathPrefix": f"/version-{version}/", "kind": "safe"},
     ]
@@ -150,7 +150,7 @@
         """Start all components and wait until all gateways listen."""
         self.store_address = await listen(self.store.handle)
         self.apply_next()
-        await self._write_foreign_entries()
+        await self._write_invalid_entries()
         for _ in range(servers):
             await self.add_server()
         for number in range(gateways):
@@ -254,12 +254,12 @@
         self.written_values[key] = value
         self.store.put(key, value)
 
-    async def _write_foreign_entries(self) -> None:
+    async def _write_invalid_entries(self) -> None:
         """Write invalid server entries, as a foreign writer might."""
         address = await listen(self.trap_server.handle)
         entry = {"service": "desk", "address": address, "zone": "hall", "slots": 99}
-        bad = ({"state": "idle"}, {}, {"state": 1}, {"state": "ready", "slots": "many"})
-        for number, change in enumerate(bad):
+        invalid_fields = ({"state": "idle"}, {}, {"state": 1}, {"state": "ready", "slots": "many"})
+        for number, change in enumerate(invalid_fields):
             self._write(f"servers/{TRAP_SERVER}-{number}", msgspec.json.encode(entry | change))
         self._write(f"servers/{TRAP_SERVER}-bytes", b"\xff\x00")
 
