--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -17,7 +17,7 @@
 from dalehollow.gateway.limit_tokens import Address
 from dalehollow.gateway.reports import DATAGRAM_HEADER_BYTES
 from dalehollow.protocol.reports import PeerMessage
-from soak.signal_promises import count_allowed, count_most
+from soak.signal_promises import count_allowed_in_window, count_max_in_window
 from tests.limit_world import LimitWorld, Server
 from tests.virtual_time import run_virtual
 
@@ -55,8 +55,8 @@
     print_pairs(
         gateways=halls * gateways,
         limit_per_s=limit_per_s,
-        most_in_window=count_most(times_s),
-        allowed=count_allowed(limit_per_s),
+        most_in_window=count_max_in_window(times_s),
+        allowed=count_allowed_in_window(limit_per_s),
         used_share=round(len(times_s) / (PLAYED_S - COUNTED_AFTER_S) / limit_per_s, 2),
         most_sent_bytes_per_s=round(max(sent.values(), default=0) / PLAYED_S),
     )
--- a/soak/signal_promises.py
+++ b/soak/signal_promises.py
@@ -86,19 +86,19 @@
             for arrival, _ in _list_later_arrivals(history, requests, signal, until_s):
                 if arrival.at_s > signals[0].at_s + FAULT_FREE_S:
                     counted[arrival.request_id] = arrival.at_s
-        max_in_window = count_most(list(counted.values()))
-        if max_in_window > count_allowed(signals[0].value):
+        max_in_window = count_max_in_window(list(counted.values()))
+        if max_in_window > count_allowed_in_window(signals[0].value):
             yield Violation(
                 "server limit", f"{max_in_window} requests within {LIMIT_WINDOW_S} s at {server}"
             )
 
 
-def count_allowed(limit_per_s: float) -> float:
+def count_allowed_in_window(limit_per_s: float) -> float:
     """Return how many requests may reach an upstream in any window of LIMIT_WINDOW_S."""
     return 1.5 * limit_per_s * LIMIT_WINDOW_S + 5
 
 
-def count_most(times_s: Sequence[float]) -> int:
+def count_max_in_window(times_s: Sequence[float]) -> int:
     """Return the largest number of times within one window of LIMIT_WINDOW_S."""
     return max(
         (sum(0 <= t - at_s <= LIMIT_WINDOW_S for t in times_s) for at_s in times_s), default=0
--- a/tests/test_limits_at_size.py
+++ b/tests/test_limits_at_size.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from soak.signal_promises import count_allowed, count_most
+from soak.signal_promises import count_allowed_in_window, count_max_in_window
 from tests.limit_world import LimitWorld, Server
 from tests.virtual_time import run_virtual
 
@@ -55,7 +55,7 @@
     assert server.limit_sent_at_s is not None
     from_s = server.limit_sent_at_s + COUNT_DELAY_S
     counted = [a for a in server.arrivals if a.at_s >= a.learned_at_s + GATEWAY_COUNT_DELAY_S]
-    return count_most([a.at_s for a in counted if a.at_s >= from_s])
+    return count_max_in_window([a.at_s for a in counted if a.at_s >= from_s])
 
 
 def _utilization(server: Server, for_s: float) -> float:
@@ -74,7 +74,7 @@
     gateways = sum(halls.values())
     world = _simulate(halls, servers, rate_per_s=max(0.5, 9 * limit / gateways))
     for server in world.servers.values():
-        assert _count_most(server) <= count_allowed(limit)
+        assert _count_most(server) <= count_allowed_in_window(limit)
         assert _utilization(server, 6.0) >= MIN_UTILIZATION
 
 
@@ -82,7 +82,7 @@
 def test_the_limit_is_respected_beside_an_unlimited_upstream(halls: Mapping[str, int]) -> None:
     servers = {"s0": Server("a", 1.0), "s1": Server("b")}
     world = _simulate(halls, servers, rate_per_s=1.0)
-    assert _count_most(world.servers["s0"]) <= count_allowed(1.0)
+    assert _count_most(world.servers["s0"]) <= count_allowed_in_window(1.0)
     assert sum(g.refused for g in world.gateways.values()) == 0
 
 
@@ -94,7 +94,7 @@
     for begin, halfway in ((disconnect, lambda world: None), (lambda world: None, disconnect)):
         servers = {"s0": Server("a", limit)}
         world = _simulate(THIRTY_ONE, servers, rate_per_s=1.0, begin=begin, halfway=halfway)
-        assert _count_most(world.servers["s0"]) <= count_allowed(limit)
+        assert _count_most(world.servers["s0"]) <= count_allowed_in_window(limit)
 
 
 @pytest.mark.parametrize("limit", [1.0, 4.0])
@@ -103,14 +103,14 @@
         world.are_halls_connected = False
 
     world = _simulate(EIGHT, {"s0": Server("far", limit)}, rate_per_s=2.0, halfway=disconnect)
-    assert _count_most(world.servers["s0"]) <= count_allowed(limit)
+    assert _count_most(world.servers["s0"]) <= count_allowed_in_window(limit)
 
 
 @pytest.mark.parametrize("name", ["a-1", "c-0"])
 def test_one_gateway_may_use_all_of_a_limit(name: str) -> None:
     """Guards against reserving parts of a limit for gateways without requests."""
     world = _simulate(EIGHT, {"s0": Server("a", 4.0)}, rate_per_s=8.0, names=(name,))
-    assert _count_most(world.servers["s0"]) <= count_allowed(4.0)
+    assert _count_most(world.servers["s0"]) <= count_allowed_in_window(4.0)
     assert _utilization(world.servers["s0"], 6.0) >= MIN_UTILIZATION
 
 
@@ -119,7 +119,7 @@
         world.loss = 0.3
 
     world = _simulate(THIRTY_ONE, {"s0": Server("a", 2.0)}, rate_per_s=1.0, halfway=lose_datagrams)
-    assert _count_most(world.servers["s0"]) <= count_allowed(2.0)
+    assert _count_most(world.servers["s0"]) <= count_allowed_in_window(2.0)
     assert _utilization(world.servers["s0"], 6.0) >= MIN_UTILIZATION / 2
 
 
@@ -129,7 +129,7 @@
         world.stop(allocator)
 
     world = _simulate(EIGHT, {"s0": Server("a", 4.0)}, rate_per_s=2.0, halfway=end_allocator)
-    assert _count_most(world.servers["s0"]) <= count_allowed(4.0)
+    assert _count_most(world.servers["s0"]) <= count_allowed_in_window(4.0)
     assert _utilization(world.servers["s0"], 4.0) >= MIN_UTILIZATION
 
 
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -14,7 +14,7 @@
 import pytest
 
 from dalehollow.aio import CallerConnection, CallerRequest, connect
-from soak.signal_promises import count_allowed, count_most
+from soak.signal_promises import count_allowed_in_window, count_max_in_window
 from standins.platform import listen
 from standins.server import ServerStandIn, Way
 from tests.gateway_bench import (
@@ -66,7 +66,7 @@
         until_s = loop.time() + 2.0
         while loop.time() < until_s:
             assert (await bench.ask("/read/1")).status == 200
-        assert count_most(limited.list_counted()) <= count_allowed(float(limit))
+        assert count_max_in_window(limited.list_counted()) <= count_allowed_in_window(float(limit))
 
     run_bench(scenario)
 
@@ -94,7 +94,7 @@
                 connection = await connect(gateway.http, TIMEOUT_S)
                 connection.send([make_request("/read/1", number)])
                 assert (await read_answer(connection)).status == 200
-        assert count_most(limited.list_counted()) <= count_allowed(1.0)
+        assert count_max_in_window(limited.list_counted()) <= count_allowed_in_window(1.0)
         for task in running:
             task.cancel()
 
