--- a/dalehollow/once/table.py
+++ b/dalehollow/once/table.py
@@ -182,7 +182,7 @@
             return Failure(
                 Reason.KEY_OUTCOME_UNKNOWN,
                 Verdict.MAY_HAVE_RUN,
-                "the owner of this key restarted without its records; the request may have run",
+                "the owner of this key restarted and cannot determine whether the request ran",
             )
         if len(self._records) >= limits.capacity:
             return Failure(
