--- a/dalehollow/entry/attempt.py
+++ b/dalehollow/entry/attempt.py
@@ -41,7 +41,7 @@
             view.note_done()
             failure = tried.err_value
             if failure.rest_ms is not None:
-                view.note_rest(job.priority, now_s + failure.rest_ms / _MS_PER_S)
+                view.start_backoff(job.priority, now_s + failure.rest_ms / _MS_PER_S)
             if failure.reason in (Reason.UPSTREAM_UNREACHABLE, Reason.UPSTREAM_FAILED):
                 is_unreachable = failure.reason is Reason.UPSTREAM_UNREACHABLE
                 view.note_failure(now_s, is_unreachable=is_unreachable)
--- a/dalehollow/entry/pool.py
+++ b/dalehollow/entry/pool.py
@@ -80,10 +80,10 @@
         chosen = choose([v.as_candidate() for v in open_views.values()], self._rng)
         return open_views[chosen.name]
 
-    def rest_left_ms(self, service: str, priority: str) -> int:
-        """Return the time until any upstream accepts such requests; 0 if one does now."""
+    def backoff_left_ms(self, service: str, priority: str) -> int:
+        """Return the shortest remaining backoff of a service's upstreams, 0 if one has none."""
         now_s = self._clock()
-        remaining_s = [view.rest_left_s(priority, now_s) for view in self._list_views(service)]
+        remaining_s = [view.backoff_left_s(priority, now_s) for view in self._list_views(service)]
         return round(min(remaining_s, default=0.0) * _MS_PER_S)
 
     def _list_views(self, service: str) -> list[UpstreamView]:
--- a/dalehollow/entry/serve.py
+++ b/dalehollow/entry/serve.py
@@ -83,8 +83,10 @@
             if not failure.may_retry or job.deadline_s <= read_clock():
                 break
         if failure is None:
-            rest_ms = self.pool.rest_left_ms(job.service.name, job.priority)
-            return Err(_all_queues_full(job, rest_ms) if rest_ms else _no_usable_upstream(job))
+            backoff_ms = self.pool.backoff_left_ms(job.service.name, job.priority)
+            return Err(
+                _all_queues_full(job, backoff_ms) if backoff_ms else _no_usable_upstream(job)
+            )
         # An earlier attempt may have run even if the last one certainly did not.
         return Err(failure if worst_verdict is Verdict.NOT_RUN else _mark_may_have_run(failure))
 
@@ -175,9 +177,9 @@
     return replace(failure, verdict=Verdict.MAY_HAVE_RUN)
 
 
-def _all_queues_full(job: Job, rest_ms: int) -> Failure:
+def _all_queues_full(job: Job, backoff_ms: int) -> Failure:
     message = f"the queues of all upstreams of service {job.service.name!r} are full"
-    return Failure(Reason.QUEUE_FULL, Verdict.NOT_RUN, message, retry_after_ms=rest_ms)
+    return Failure(Reason.QUEUE_FULL, Verdict.NOT_RUN, message, retry_after_ms=backoff_ms)
 
 
 def _no_usable_upstream(job: Job) -> Failure:
--- a/dalehollow/membership/view.py
+++ b/dalehollow/membership/view.py
@@ -31,8 +31,8 @@
     _failures: int = 0
     _ejections: int = 0
     _ejected_until_s: float = 0.0
-    # By priority: time until which the upstream accepts no request of that priority.
-    _refused_until_s: dict[str, float] = field(default_factory=dict)
+    # End of the backoff that the upstream requested, by priority.
+    _backoff_until_s: dict[str, float] = field(default_factory=dict)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def take_report(self, report: LoadReport, now_s: float) -> None:
@@ -48,24 +48,24 @@
         self.is_silent = True
 
     def mark_leaving(self, is_leaving: bool, incarnation_ms: int) -> None:
-        """Record the sidecar's leaving flag; a new incarnation also clears failures and rests."""
+        """Record the sidecar's leaving flag; a new incarnation clears failures and backoffs."""
         with self._lock:
             self.is_leaving = is_leaving
             if incarnation_ms != self.incarnation_ms:
                 self.incarnation_ms = incarnation_ms
-                self._refused_until_s.clear()
+                self._backoff_until_s.clear()
                 self._clear_failures()
 
-    def note_rest(self, priority: str, until_s: float) -> None:
-        """Record that requests of this or a lower priority are refused until a time."""
+    def start_backoff(self, priority: str, until_s: float) -> None:
+        """Send no requests of this or a lower priority until the end of a requested backoff."""
         with self._lock:
             for lower in PRIORITIES[PRIORITIES.index(priority) :]:
-                self._refused_until_s[lower] = max(until_s, self._refused_until_s.get(lower, 0.0))
+                self._backoff_until_s[lower] = max(until_s, self._backoff_until_s.get(lower, 0.0))
 
-    def rest_left_s(self, priority: str, now_s: float) -> float:
-        """Return how long requests of a priority are still refused, 0 if they are accepted."""
+    def backoff_left_s(self, priority: str, now_s: float) -> float:
+        """Return the remaining backoff for a priority, 0 if there is none."""
         with self._lock:
-            return max(0.0, self._refused_until_s.get(priority, 0.0) - now_s)
+            return max(0.0, self._backoff_until_s.get(priority, 0.0) - now_s)
 
     def note_sent(self) -> None:
         """Count a request that was sent."""
@@ -116,14 +116,14 @@
 ) -> list[UpstreamView]:
     """Return the views that may receive requests.
 
-    Upstreams that are leaving, by the sidecar or by the VM list, or refusing this priority are
-    always excluded. Silent and ejected ones are excluded only if they are less than half of the
-    rest; otherwise the fault is more likely on this side or common to all of them.
+    Upstreams that are leaving, by the sidecar or by the VM list, or in backoff for this priority
+    are always excluded. Of the remaining ones, the silent and ejected are excluded only if they are
+    less than half; otherwise the fault is more likely on this side or common to all of them.
     """
     staying = [
         view
         for view in views
-        if not (view.is_leaving or view.is_listed_leaving or view.rest_left_s(priority, now_s))
+        if not (view.is_leaving or view.is_listed_leaving or view.backoff_left_s(priority, now_s))
     ]
     healthy = [view for view in staying if not (view.is_silent or view.is_ejected(now_s))]
     return healthy if 2 * len(healthy) > len(staying) else staying
--- a/tests/test_entry_rests.py
+++ b/tests/test_entry_rests.py
@@ -1,4 +1,4 @@
-"""Test that an entry stops sending to an upstream for the back-off its sidecar requests.
+"""Test that an entry stops sending to an upstream for the backoff that its sidecar requests.
 
 Guards against an entry that keeps sending to a sidecar with a full queue until the next heartbeat.
 The refusal says when there will be room, but that time was only returned to the client of the one
@@ -27,7 +27,7 @@
 
 def _set_backoffs(views: list[UpstreamView], until_s: Mapping[int, float], priority: str) -> None:
     for idx, at_s in until_s.items():
-        views[idx].note_rest(priority, at_s)
+        views[idx].start_backoff(priority, at_s)
 
 
 def _usable_indices(views: list[UpstreamView], priority: str, now_s: float = 0.0) -> list[int]:
@@ -92,7 +92,7 @@
     views = make_views(3)
     pool._views = {v.upstream.name: v for v in views}
     pool._subsets = {"desk": tuple(pool._views)}
-    assert pool.rest_left_ms("desk", "normal") == 0
+    assert pool.backoff_left_ms("desk", "normal") == 0
     _set_backoffs(views, {0: 12.0, 1: 11.5, 2: 13.0}, "normal")
-    assert pool.rest_left_ms("desk", "normal") == 1500
-    assert pool.rest_left_ms("desk", "urgent") == 0
+    assert pool.backoff_left_ms("desk", "normal") == 1500
+    assert pool.backoff_left_ms("desk", "urgent") == 0
