--- a/dalehollow/entry/__init__.py
+++ b/dalehollow/entry/__init__.py
@@ -1,4 +1,4 @@
-"""Accept client requests, select an upstream for each and relay the response."""
+"""Accept requests from callers, select an upstream for each and relay the response."""
 
 from __future__ import annotations
 
--- a/dalehollow/entry/admit.py
+++ b/dalehollow/entry/admit.py
@@ -1,4 +1,4 @@
-"""Validate a client request against the configuration and build a job from it."""
+"""Validate a caller's request against the configuration and build a job from it."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def read_request_id(req: HttpRequest) -> str:
-    """Return the client's request id if it is well-formed, else a new one."""
+    """Return the caller's request id if it is well-formed, else a new one."""
     given = req.headers.get(hdr.REQUEST_ID, "")
     return given if _REQUEST_ID.fullmatch(given) else uuid.uuid4().hex
 
--- a/dalehollow/entry/process.py
+++ b/dalehollow/entry/process.py
@@ -136,7 +136,7 @@
         return left
 
     def handle(self, req: HttpRequest) -> HttpResponse:
-        """Handle one HTTP request from a client."""
+        """Handle one HTTP request from a caller."""
         if req.path == "/dalehollow/health":
             return self._answer_health()
         if req.path == "/dalehollow/metrics":
--- a/dalehollow/gateway/admission.py
+++ b/dalehollow/gateway/admission.py
@@ -2,8 +2,8 @@
 
 An upstream serves as many concurrent requests as it has slots; the number in flight from all
 gateways is known from their reports. When no slot is free, a request waits briefly in a queue that
-favors urgent requests and client retries, and is then refused with a `Retry-After` that estimates
-when a slot becomes free. Apart from client retries, the longest wait is the route's latency
+favors urgent requests and caller retries, and is then refused with a `Retry-After` that estimates
+when a slot becomes free. Apart from caller retries, the longest wait is the route's latency
 objective less the recent answer latency of the upstreams. A request whose expected wait exceeds the
 longest wait is refused immediately.
 """
@@ -22,24 +22,24 @@
 
 ANSWER_LATENCY_WEIGHT = 0.1
 """Weight of a new sample in the moving average of answer latency, about the last ten samples."""
-CLIENT_RETRY_MAX_WAIT_S = 1.0
-"""Longest wait of a client retry. Callers of streams disconnect after 2 s, and under full load the
+CALLER_RETRY_MAX_WAIT_S = 1.0
+"""Longest wait of a caller retry. Callers of streams disconnect after 2 s, and under full load the
 first event takes up to 1 s."""
-CLIENT_RETRY_TIME_LEFT_SHARE = 0.96
-"""A request is taken for a client retry if its remaining time is less than this share of the
+CALLER_RETRY_TIME_LEFT_SHARE = 0.96
+"""A request is taken for a caller retry if its remaining time is less than this share of the
 longest remaining time seen on its route."""
 PRIORITY_OFFSET_S = 0.025
 """Offset added to the arrival time for each priority level when the queue is ordered. Urgent
 requests go first, but others do not starve under steady overload."""
-CLIENT_RETRY_HEAD_START_S = 0.5
+CALLER_RETRY_HEAD_START_S = 0.5
 RETRY_AFTER_MIN_S = 0.25
 RETRY_AFTER_MAX_S = 5.0
 RETRY_AFTER_TIME_LEFT_SHARE = 0.33
 """Callers honor a `Retry-After` of up to a third of their remaining time."""
-CLIENT_RETRY_SLOT_SHARE = 0.5
+CALLER_RETRY_SLOT_SHARE = 0.5
 """Share of the slots becoming free that is offered to refused callers through `Retry-After`."""
 BACKOFF_SPREAD_S = 0.5
-"""Client retries after an upstream's backoff are spread over this interval, so that their burst
+"""Caller retries after an upstream's backoff are spread over this interval, so that their burst
 does not overload the upstream again."""
 PROBE_INTERVAL_S = 0.25
 """Interval at which each gateway sends one request to a broken group to detect its recovery."""
@@ -103,8 +103,8 @@
     async def acquire(
         self, request: AdmissionRequest, tried: Collection[str]
     ) -> Upstream | AdmissionRefusal:
-        """Acquire a slot, waiting for one if necessary; the caller must release it."""
-        is_client_retry = self._note_time_left(request)
+        """Acquire a slot, waiting for one if necessary; it must be released with `release`."""
+        is_caller_retry = self._note_time_left(request)
         if not self.upstreams.of_service(self.service):
             return AdmissionRefusal("no_upstream", self._retry_after_s(request))
         if request.expected_duration_s > request.time_left_s:
@@ -121,13 +121,13 @@
         candidates = self._list_candidates(tried)
         if not candidates:
             return self._refuse_without_candidates(request)
-        max_wait_s = self._max_wait_s(request, is_client_retry)
+        max_wait_s = self._max_wait_s(request, is_caller_retry)
         if self._expected_wait_s() > max_wait_s:
             lacks_tokens = self.upstreams.lacks_tokens(candidates, self.clock())
             if not lacks_tokens or len(self.waiting) >= MAX_REQUESTED_TOKENS:
                 return AdmissionRefusal("no_place_in_time", self._retry_after_s(request))
             max_wait_s = min(max_wait_s, TOKEN_REQUEST_LIFETIME_S)
-        return await self._wait(request, tried, is_client_retry, max_wait_s)
+        return await self._wait(request, tried, is_caller_retry, max_wait_s)
 
     def release(self, upstream: Upstream) -> None:
         """Release the slot of a finished request."""
@@ -194,12 +194,12 @@
         self,
         request: AdmissionRequest,
         tried: Collection[str],
-        is_client_retry: bool,
+        is_caller_retry: bool,
         max_wait_s: float,
     ) -> Upstream | AdmissionRefusal:
         effective_arrival_s = self.clock() + request.priority * PRIORITY_OFFSET_S
-        if is_client_retry:
-            effective_arrival_s -= CLIENT_RETRY_HEAD_START_S
+        if is_caller_retry:
+            effective_arrival_s -= CALLER_RETRY_HEAD_START_S
         waiter = _Waiter(
             effective_arrival_s, request, tried, asyncio.get_running_loop().create_future()
         )
@@ -219,10 +219,10 @@
             if waiter in self.waiting:
                 self.waiting.remove(waiter)
 
-    def _max_wait_s(self, request: AdmissionRequest, is_client_retry: bool) -> float:
+    def _max_wait_s(self, request: AdmissionRequest, is_caller_retry: bool) -> float:
         max_wait_s = max(0.0, request.objective_s - self._answer_latency_s)
-        if is_client_retry:
-            max_wait_s = CLIENT_RETRY_MAX_WAIT_S
+        if is_caller_retry:
+            max_wait_s = CALLER_RETRY_MAX_WAIT_S
         return min(max_wait_s, request.time_left_s)
 
     def _expected_wait_s(self) -> float:
@@ -262,10 +262,10 @@
         return upstream
 
     def _note_time_left(self, request: AdmissionRequest) -> bool:
-        """Record a caller's remaining time and return whether the request is a client retry."""
+        """Record a caller's remaining time and return whether the request is a caller retry."""
         max_s = max(request.caller_time_left_s, self._max_time_left_s.get(request.route, 0.0))
         self._max_time_left_s[request.route] = max_s
-        return request.caller_time_left_s < CLIENT_RETRY_TIME_LEFT_SHARE * max_s
+        return request.caller_time_left_s < CALLER_RETRY_TIME_LEFT_SHARE * max_s
 
     def _may_probe(self) -> bool:
         now_s = self.clock()
@@ -286,7 +286,7 @@
         now_s = self.clock()
         backoff_s = self.upstreams.backoff_left_s(self.service, now_s)
         max_s = max(self._max_retry_after_s(request), backoff_s and backoff_s + BACKOFF_SPREAD_S)
-        interval_s = self._completion_interval_s / CLIENT_RETRY_SLOT_SHARE
+        interval_s = self._completion_interval_s / CALLER_RETRY_SLOT_SHARE
         self._promised_until_s = max(self._promised_until_s, now_s + backoff_s) + interval_s
         wait_s = RETRY_AFTER_MIN_S + self._promised_until_s - now_s
         if wait_s <= max_s:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -93,7 +93,7 @@
     _run(scenario)
 
 
-def test_urgent_requests_and_client_retries_go_first() -> None:
+def test_urgent_requests_and_caller_retries_go_first() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
         all_acquired = [await bench.acquire() for _ in range(SLOTS)]
         ordinary = await bench.wait(priority=9)
--- a/tests/test_entry_rests.py
+++ b/tests/test_entry_rests.py
@@ -1,7 +1,7 @@
 """Test that an entry stops sending to an upstream for the backoff that its sidecar requests.
 
 Guards against an entry that keeps sending to a sidecar with a full queue until the next heartbeat.
-The refusal says when there will be room, but that time was only returned to the client of the one
+The refusal says when there will be room, but that time was only returned to the caller of the one
 request and not recorded for the upstream. Gateways, which send to upstreams themselves, had the
 same fault.
 """
