--- a/dalehollow/membership/view.py
+++ b/dalehollow/membership/view.py
@@ -9,8 +9,8 @@
 from dalehollow.routing import Candidate, LoadReport
 
 EJECT_AFTER_FAILURES = 3
-EJECT_BASE_S = 0.5
-EJECT_MAX_S = 30.0
+MIN_EJECTION_S = 0.5
+MAX_EJECTION_S = 30.0
 
 
 @dataclass
@@ -89,7 +89,7 @@
         with self._lock:
             self._failures += 1
             if is_unreachable or self._failures >= EJECT_AFTER_FAILURES:
-                pause_s = min(EJECT_MAX_S, EJECT_BASE_S * 2**self._ejections)
+                pause_s = min(MAX_EJECTION_S, MIN_EJECTION_S * 2**self._ejections)
                 self._ejected_until_s = now_s + pause_s
                 self._ejections += 1
                 self._failures = 0
