--- a/dalehollow/entry/process.py
+++ b/dalehollow/entry/process.py
@@ -119,7 +119,7 @@
         self.server.start()
 
     def stop(self) -> int:
-        """Drain running requests and return how many were aborted."""
+        """Drain requests in flight and return how many were aborted."""
         self.is_leaving = True
         self._stopping.set()
         log_event(_log, "leaving")
--- a/dalehollow/gateway/crashes.py
+++ b/dalehollow/gateway/crashes.py
@@ -223,10 +223,10 @@
             if last_s - c.at_s <= CONNECTION_BREAK_SPREAD_S
         }
         for name, at_s in names.items():
-            self._add_crash(name, crash, at_s, in_hand=len(names))
+            self._add_crash(name, crash, at_s, in_flight=len(names))
 
     def _add_crash(
-        self, name: Fingerprint, crash: str, at_s: float, in_hand: int | None = None
+        self, name: Fingerprint, crash: str, at_s: float, in_flight: int | None = None
     ) -> None:
         suspect = self._suspects.setdefault(name, _Suspect())
         if crash in suspect.crashes or at_s <= suspect.cleared_at_s:
@@ -245,7 +245,7 @@
             logging.WARNING if is_refused else logging.INFO,
             fingerprint=name.hex(),
             crashed=",".join(suspect.crashes),
-            in_hand=in_hand,
+            in_hand=in_flight,
             for_s=round(suspect.refused_until_s() - self._clock(), 1) if is_refused else None,
         )
         self._on_change()
--- a/dalehollow/gateway/process.py
+++ b/dalehollow/gateway/process.py
@@ -299,24 +299,24 @@
         self._is_stopping = True
         self._planners.stop()
         last_s = began_s + self._settings.stop_grace_ms / _MS_PER_S - STOP_MARGIN_S
-        log_event(_LOG, "stopping", in_hand=self._count_busy())
+        log_event(_LOG, "stopping", in_hand=self._count_in_flight())
         self._close_idle()
         await asyncio.sleep(MIN_STOP_S)
         self.refuses_new = True
-        while self._count_busy() and loop.time() < last_s:
+        while self._count_in_flight() and loop.time() < last_s:
             await asyncio.sleep(0.02)
         server.close()
         self._close_idle()
         await self._session.end()
-        while self._count_busy() and loop.time() < last_s:
+        while self._count_in_flight() and loop.time() < last_s:
             await asyncio.sleep(0.02)
-        log_event(_LOG, "stopped", in_hand=self._count_busy())
+        log_event(_LOG, "stopped", in_hand=self._count_in_flight())
 
     def _close_idle(self) -> None:
         for caller in list(self._callers):
             caller.close_if_idle()
 
-    def _count_busy(self) -> int:
+    def _count_in_flight(self) -> int:
         return sum(1 for caller in self._callers if caller.is_busy)
 
 
--- a/dalehollow/gateway/reports.py
+++ b/dalehollow/gateway/reports.py
@@ -64,7 +64,7 @@
 
 @dataclass
 class _PeerLoad:
-    in_hand: Mapping[str, int]
+    in_flight_counts: Mapping[str, int]
     heard_at_s: float
     silent_after_s: float
 
@@ -225,7 +225,7 @@
         if report.sender == self._name:
             return
         self._record_sender(report.sender, self._hall, addr)
-        self._update_load(self._peer_loads, report.sender, report.in_hand, SILENT_AFTER_S)
+        self._update_load(self._peer_loads, report.sender, report.in_flight_counts, SILENT_AFTER_S)
         self._update_health(report.served_age_s, report.refused_age_s)
         now_s = asyncio.get_running_loop().time()
         for incarnation, (unknown, age_s) in report.unknown.items():
@@ -244,7 +244,9 @@
     def _handle_hall(self, report: HallReport, addr: _Address) -> None:
         if report.hall == self._hall:
             return
-        self._update_load(self._hall_loads, report.hall, report.in_hand, HALL_SILENT_AFTER_S)
+        self._update_load(
+            self._hall_loads, report.hall, report.in_flight_counts, HALL_SILENT_AFTER_S
+        )
         self._update_health(report.served_age_s, report.refused_age_s)
         self._record_view(report.view, None if report.is_passed_on else addr)
         if not report.is_passed_on:
@@ -308,7 +310,9 @@
         if self._transport is None or not (self._hall_peers or self._remote_halls):
             return
         now_s = asyncio.get_running_loop().time()
-        in_hand = {u.listed.incarnation: u.in_flight for u in self._upstreams if u.in_flight}
+        in_flight_counts = {
+            u.listed.incarnation: u.in_flight for u in self._upstreams if u.in_flight
+        }
         served = _list_ages(self._health.served_at_s, now_s)
         refused = _list_ages(self._health.refused_at_s, now_s)
         relay = self._feed.relay_state()
@@ -321,7 +325,7 @@
         limits = self._list_limits(now_s)
         suspects = self._crashes.export_suspicions()
         report = LoadReport(
-            self._name, in_hand, served, refused, unknown, relay, view, limits, suspects
+            self._name, in_flight_counts, served, refused, unknown, relay, view, limits, suspects
         )
         self.send_to_hall(report)
         if not self._feed.reports_to_other_halls():
@@ -329,7 +333,7 @@
         if now_s >= self._next_total_at_s:
             total = HallReport(
                 self._hall,
-                self._sum_hall_load(in_hand),
+                self._sum_hall_load(in_flight_counts),
                 served,
                 refused,
                 sender=self._name,
@@ -343,11 +347,11 @@
             pause_s = size / (SIGNALS_SHARE * self._remote_bytes_per_s)
             self._next_signals_at_s = now_s + max(IDLE_INTERVAL_S, pause_s)
 
-    def _sum_hall_load(self, in_hand: Mapping[str, int]) -> dict[str, int]:
+    def _sum_hall_load(self, in_flight_counts: Mapping[str, int]) -> dict[str, int]:
         """Return the requests in flight of all gateways of the hall, this one included."""
-        total = Counter(in_hand)
+        total = Counter(in_flight_counts)
         for load in self._peer_loads.values():
-            total.update(load.in_hand)
+            total.update(load.in_flight_counts)
         return dict(total)
 
     def _send_to_halls(self, message: HallReport | HallSignals, now_s: float) -> int:
@@ -365,16 +369,16 @@
         self,
         reports: dict[str, _PeerLoad],
         name: str,
-        in_hand: Mapping[str, int],
+        in_flight_counts: Mapping[str, int],
         silent_after_s: float,
     ) -> None:
         before = reports.get(name)
         now_s = asyncio.get_running_loop().time()
-        reports[name] = _PeerLoad(in_hand, now_s, silent_after_s)
-        for incarnation in {*in_hand, *(before.in_hand if before else ())}:
-            change = in_hand.get(incarnation, 0)
+        reports[name] = _PeerLoad(in_flight_counts, now_s, silent_after_s)
+        for incarnation in {*in_flight_counts, *(before.in_flight_counts if before else ())}:
+            change = in_flight_counts.get(incarnation, 0)
             if before is not None:
-                change -= before.in_hand.get(incarnation, 0)
+                change -= before.in_flight_counts.get(incarnation, 0)
             self._upstreams.adjust_others(incarnation, change)
 
     def _drop(self, reports: dict[str, _PeerLoad], name: str) -> None:
--- a/dalehollow/protocol/reports.py
+++ b/dalehollow/protocol/reports.py
@@ -53,14 +53,14 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """Report the sender's requests in progress to the gateways of its hall.
+    """Report the sender's requests in flight to the gateways of its hall.
 
     The ages give the time since a group last served and last refused as broken. `relay` is set by
     the gateway that follows the store for its hall.
     """
 
     sender: str
-    in_hand: dict[str, int]
+    in_flight_counts: dict[str, int]
     served_age_s: dict[str, float]
     refused_age_s: dict[str, float]
     # Requests at an upstream that no gateway accounts for, and the age of that observation.
@@ -73,10 +73,10 @@
 
 
 class HallReport(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """Report the total requests in progress of the sender's hall to another hall."""
+    """Report the total requests in flight of the sender's hall to another hall."""
 
     hall: str
-    in_hand: dict[str, int]
+    in_flight_counts: dict[str, int]
     served_age_s: dict[str, float]
     refused_age_s: dict[str, float]
     # Set when the report is forwarded within a hall; it is not forwarded again.
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -64,8 +64,8 @@
     return ListedUpstream(incarnation, "desk", "127.0.0.1:9", "hall-1", 4, False)
 
 
-def _load(sender: str, **in_hand: int) -> LoadReport:
-    return LoadReport(sender, in_hand, {}, {}, {})
+def _load(sender: str, **in_flight_counts: int) -> LoadReport:
+    return LoadReport(sender, in_flight_counts, {}, {}, {})
 
 
 def _run(scenario: Callable[[_Bench], Awaitable[None]]) -> None:
