--- a/dalehollow/config/holder.py
+++ b/dalehollow/config/holder.py
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         """Start with version 0, an empty configuration."""
-        self._in_force = ActiveConfig(EMPTY_MANIFEST, None, {})
+        self._active = ActiveConfig(EMPTY_MANIFEST, None, {})
         self._confirmed_at_ms = 0
         self._listeners: list[Callable[[ActiveConfig], None]] = []
         self._lock = threading.RLock()
@@ -35,12 +35,12 @@
     @property
     def active(self) -> ActiveConfig:
         """Return the active configuration."""
-        return self._in_force
+        return self._active
 
     @property
     def version(self) -> int:
         """Return the active version."""
-        return self._in_force.manifest.version
+        return self._active.manifest.version
 
     @property
     def confirmed_at_ms(self) -> int:
@@ -48,15 +48,15 @@
         return self._confirmed_at_ms
 
     def on_change(self, listener: Callable[[ActiveConfig], None]) -> None:
-        """Call the listener with each new configuration, and with the current one if any."""
+        """Call the listener with each new configuration, and with the active one if any."""
         with self._lock:
             self._listeners.append(listener)
-            if self._in_force.config is not None:
-                listener(self._in_force)
+            if self._active.config is not None:
+                listener(self._active)
 
     def list_missing(self, manifest: Manifest) -> tuple[str, ...]:
         """Return the ids of the parts of a manifest that are not held here."""
-        return tuple(sorted(set(manifest.parts.values()) - set(self._in_force.parts)))
+        return tuple(sorted(set(manifest.parts.values()) - set(self._active.parts)))
 
     def activate(self, manifest: Manifest, parts: Mapping[str, bytes]) -> bool:
         """Activate a configuration if it is newer and complete; return whether it was activated.
@@ -65,7 +65,7 @@
         """
         if manifest.version <= self.version:
             return False
-        known = {**self._in_force.parts, **parts}
+        known = {**self._active.parts, **parts}
         wanted = set(manifest.parts.values())
         if not all(part_id in known and is_part(part_id, known[part_id]) for part_id in wanted):
             return False
@@ -73,10 +73,10 @@
         with self._lock:
             if manifest.version <= self.version:
                 return False
-            self._in_force = ActiveConfig(manifest, cfg, {i: known[i] for i in wanted})
+            self._active = ActiveConfig(manifest, cfg, {i: known[i] for i in wanted})
             self._confirmed_at_ms = manifest.applied_at_ms
             for listener in self._listeners:
-                listener(self._in_force)
+                listener(self._active)
         return True
 
     def confirm(self, version: int, at_ms: int) -> None:
@@ -87,4 +87,4 @@
 
     def manifest_json(self) -> bytes:
         """Return the active manifest as JSON."""
-        return msgspec.json.encode(self._in_force.manifest)
+        return msgspec.json.encode(self._active.manifest)
--- a/dalehollow/gateway/demand.py
+++ b/dalehollow/gateway/demand.py
@@ -42,7 +42,7 @@
     ) -> bool:
         """Add the counts since the last read; return whether they are significant.
 
-        `rate_longest` returns the relative load of the longest rank of the map in force under a
+        `rate_longest` returns the relative load of the longest rank of the active map under a
         demand.
         """
         window: list[list[float]] = []
--- a/dalehollow/gateway/feed.py
+++ b/dalehollow/gateway/feed.py
@@ -31,7 +31,7 @@
 STALE_S = 1.0
 """Maximum age of the confirmed store state. A relay confirms its state within 0.9 s or detects that
 it cannot; the fallback, reading the store or copying from a peer, takes at most 0.8 s. The sum is
-below the 2 s within which a configuration must be in force."""
+below the 2 s within which a configuration must be active."""
 RELAY_SILENT_S = 0.6
 """A relay reports at least four times a second, so two lost reports do not count as silence."""
 SILENCE_SPREAD_S = 0.2
--- a/dalehollow/gateway/pass_times.py
+++ b/dalehollow/gateway/pass_times.py
@@ -70,7 +70,7 @@
         return pauses_s[FEW_PIECES - 1]
 
     def settle(self) -> None:
-        """Measure the usual length again, since another map is in force."""
+        """Measure the usual length again, since another map is active."""
         self._usual_length = None
         self._settled_at_s = self.clock() + SETTLE_S
 
--- a/dalehollow/gateway/planner.py
+++ b/dalehollow/gateway/planner.py
@@ -272,7 +272,7 @@
         return found
 
     async def _begin_epoch(self, epoch: int, fence: int) -> bool:
-        """Read the map in force, and settle a switch that another planner left open."""
+        """Read the active map, and settle a switch that another planner left open."""
         ranks = sorted(self.ranks())
         reports = await asyncio.gather(*(self.port.read_report(rank) for rank in ranks))
         known = {rank: r for rank, r in zip(ranks, reports, strict=True) if r is not None}
--- a/dalehollow/gateway/settings.py
+++ b/dalehollow/gateway/settings.py
@@ -56,7 +56,7 @@
     plan_copy_price_mb: float = 0.00015
     plan_begin_gain: float = 0.3
     plan_memory: float = 0.8
-    # Time that a rank may copy weights in one change; further copies follow once it is in force.
+    # Time that a rank may copy weights in one change; further copies follow once it is active.
     plan_copy_ms: int = 450
     # The same for 60 s after a pause of this share of the longest that callers tolerate.
     plan_pressed_share: float = 0.85
--- a/dalehollow/gateway/state.py
+++ b/dalehollow/gateway/state.py
@@ -57,7 +57,7 @@
 
 @dataclass
 class GatewayState:
-    """Hold the current configuration, the upstreams and the state of each service."""
+    """Hold the active configuration, the upstreams and the state of each service."""
 
     names: HeaderNames
     rng: random.Random
--- a/dalehollow/groups/plan.py
+++ b/dalehollow/groups/plan.py
@@ -70,7 +70,7 @@
     changed: Sequence[bool] | None = None,
     max_moves: int | None = None,
 ) -> Plan:
-    """Plan the next map; a plan without moves keeps the current one.
+    """Plan the next map; a plan without moves keeps the active one.
 
     `demand` holds tokens for each expert of each layer. `tokens_counted` is the effective sample
     size per layer, needed if the demand was scaled or smoothed. `changed` marks the layers whose
--- a/dalehollow/groups/planner.py
+++ b/dalehollow/groups/planner.py
@@ -90,7 +90,7 @@
         if states is None:
             self.last_reason = "a rank state could not be read; planning skipped"
             return self.last_reason
-        current = self._current_map(states)
+        current = self._active_map(states)
         if current is None:
             self.last_reason = "ranks are switching maps or their map is unknown; planning skipped"
             return self.last_reason
@@ -119,7 +119,7 @@
             states[rank] = reply.ok_value
         return states
 
-    def _current_map(self, states: Mapping[int, RankState]) -> ExpertMap | None:
+    def _active_map(self, states: Mapping[int, RankState]) -> ExpertMap | None:
         """Return the map of all ranks, or None while maps differ or a proposal is undecided."""
         ledgers = [state.ledger for state in states.values()]
         digests = {ledger.map_digest for ledger in ledgers}
@@ -154,7 +154,7 @@
         return True
 
     def _load_weights(self, fence: int, current: ExpertMap, plan: Plan) -> bool:
-        """Load the new weights on all ranks while they keep serving with the current map."""
+        """Load the new weights on all ranks while they keep serving with the active map."""
         order = LoadOrder(
             fence,
             digest_map(current),
--- a/dalehollow/protocol/messages.py
+++ b/dalehollow/protocol/messages.py
@@ -84,7 +84,7 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """Order a rank to load the weights of a new map, given as changes to the current map.
+    """Order a rank to load the weights of a new map, given as changes to the active map.
 
     A change is (layer, rank, removed expert, added expert). Every rank receives all changes, since
     it must know where to send tokens.
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -9,7 +9,7 @@
 
 
 class _Counter:
-    """Counters of a rank; the map in force assigns each of two ranks one half of the experts."""
+    """Counters of a rank; the active map assigns each of two ranks one half of the experts."""
 
     def __init__(self, memory: float = 1.0) -> None:
         self.window = DemandWindow(memory)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -279,7 +279,7 @@
     world.apply("v2")
     world.wait_for_version(2, *HALLS)
     holder = world.halls["ngb"].sidecar.holder
-    holder._in_force = replace(holder.active, manifest=replace(old.manifest, version=0))
+    holder._active = replace(holder.active, manifest=replace(old.manifest, version=0))
     assert holder.activate(old.manifest, old.parts)
     versions = world.versions_seen["sidecar-up-ngb"]
     assert versions != sorted(set(versions))
