--- a/dalehollow/gateway/process.py
+++ b/dalehollow/gateway/process.py
@@ -39,8 +39,8 @@
 _MS_PER_S = 1000
 _BACKLOG = 512
 MIN_STOP_S = 3.0
-"""A stopping gateway accepts requests for this time, in which the balancer checks readiness twice,
-once per second. Later requests are refused, since they may not end within the grace period."""
+"""A gateway that shuts down accepts requests for this time, in which the balancer checks readiness
+twice, once per second. Later requests are refused: they may not end within the grace period."""
 STOPPING_RETRY_AFTER_S = 0.05
 """Another gateway can take the request at once; the delay lets the balancer choose another."""
 STOP_MARGIN_S = 0.6
--- a/dalehollow/gateway/settings.py
+++ b/dalehollow/gateway/settings.py
@@ -34,7 +34,7 @@
     metrics: str = "127.0.0.1:0"
     log_level: str = "info"
     log_lines_per_s: int = 40
-    # Time that a planned stop may take before the platform kills the process.
+    # Time that a graceful shutdown may take before the platform kills the process.
     stop_grace_ms: int = 8_000
     # Retry budget: retries that all gateways together may send to one service per window.
     retry_window_ms: int = 10_000
--- a/dalehollow/groups/duty.py
+++ b/dalehollow/groups/duty.py
@@ -73,7 +73,7 @@
         return self._write(next_record, entry.revision, requested_at_s)
 
     def release(self) -> None:
-        """Release the lease at a planned stop, so that another process can acquire it at once."""
+        """Release the lease at a graceful shutdown, so that others can acquire it at once."""
         if self.fence() is None:
             return
         self._held_until_s = 0.0
--- a/dalehollow/platform/session.py
+++ b/dalehollow/platform/session.py
@@ -201,7 +201,7 @@
             store.close()
 
     async def end(self) -> None:
-        """Revoke all leases at a planned stop so that other processes notice at once."""
+        """Revoke all leases at a graceful shutdown so that other processes notice at once."""
         for duty in list(self._duties):
             await self.release_duty(duty, "planned stop")
         await self._member.end()
