--- a/dalehollow/gateway/contact.py
+++ b/dalehollow/gateway/contact.py
@@ -1,8 +1,8 @@
 """Distinguish an outage of the store from a broken connection of one gateway to it.
 
-Entries of upstreams lapse when they cannot be renewed, so for a short time after an outage of the
-store a missing entry may merely have lapsed. If the store answered any gateway throughout, no entry
-has lapsed, even if this gateway's own calls failed: a missing entry was then removed.
+Entries of upstreams expire when they cannot be renewed, so for a short time after an outage of the
+store a missing entry may merely have expired. If the store answered any gateway throughout, no
+entry has expired, even if this gateway's own calls failed: a missing entry was then removed.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from dalehollow.telemetry.logs import log_event
 
-LAPSE_GRACE_S = 2.0
-"""Entries that lapsed during an outage of the store are rewritten within about 2 s."""
-LAPSE_HEARTBEATS = 1.8
-"""An entry lapses after three heartbeats without renewal, so at least two must be missed in an
+EXPIRY_GRACE_S = 2.0
+"""Entries that expired during an outage of the store are rewritten within about 2 s."""
+EXPIRY_HEARTBEATS = 1.8
+"""An entry expires after three heartbeats without renewal, so at least two must be missed in an
 outage; less a tenth, for heartbeats that come early."""
-DEFAULT_OUTAGE_S = 1.2 * LAPSE_HEARTBEATS
+DEFAULT_OUTAGE_S = 1.2 * EXPIRY_HEARTBEATS
 """For the default heartbeat of upstreams, 1.2 s."""
 
 _LOG = logging.getLogger(__name__)
@@ -28,13 +28,13 @@
     """Track when the store last answered any gateway, and since when without an outage."""
 
     def __init__(self, clock: Callable[[], float], outage_s: float = DEFAULT_OUTAGE_S) -> None:
-        """Create a tracker; entries may lapse in an outage longer than `outage_s`."""
+        """Create a tracker; entries may expire in an outage longer than `outage_s`."""
         self._clock = clock
         self._outage_s = outage_s
         self._answered_at_s = float("-inf")
         self._up_since_s = float("inf")
         # Start and end of the last outage. A gateway that has just started has read all items
-        # since, so an entry missing later has not lapsed in an earlier outage.
+        # since, so an entry missing later has not expired in an earlier outage.
         self._outage_began_at_s = float("-inf")
         self._outage_ended_at_s = float("-inf")
         # Newest known era of the store, when any gateway first heard of it, and from when the
@@ -42,8 +42,8 @@
         # restore.
         self._era = -1
         self._era_heard_at_s = self._restored_at_s = float("-inf")
-        # Called when lapsed entries must be re-evaluated earlier than scheduled.
-        self.on_lapse_update: Callable[[], None] = lambda: None
+        # Called when expired entries must be re-evaluated earlier than scheduled.
+        self.on_expiry_update: Callable[[], None] = lambda: None
 
     def note_answered(self, at_s: float | None = None) -> None:
         """Record that the store answered this gateway now, or another one at `at_s`."""
@@ -69,7 +69,7 @@
             self._era_heard_at_s = at_s
             if at_s < self._restored_at_s:
                 self._restored_at_s = at_s
-                self.on_lapse_update()
+                self.on_expiry_update()
 
     def record_peer_contact(self, answer_age_s: float, unbroken_s: float) -> None:
         """Record how long ago the store answered a peer, and for how long without an outage."""
@@ -86,7 +86,7 @@
         if since_s - self._outage_began_at_s <= self._outage_s:
             self._outage_began_at_s = self._outage_ended_at_s = float("-inf")
             log_event(_LOG, "store_was_there", unbroken_s=round(unbroken_s, 3))
-        self.on_lapse_update()
+        self.on_expiry_update()
 
     def answer_age_s(self) -> float:
         """Return how long ago the store last answered this gateway or any peer heard."""
@@ -100,18 +100,18 @@
         """Return how long ago the newest era was first heard of."""
         return self._elapsed_s(self._era_heard_at_s)
 
-    def may_have_lapsed(self) -> bool:
-        """Return whether a missing entry may merely have lapsed, rather than been removed."""
+    def may_have_expired(self) -> bool:
+        """Return whether a missing entry may merely have expired, rather than been removed."""
         return self.answer_age_s() > self._outage_s or self.settles_in_s() > 0.0
 
     def settles_in_s(self) -> float:
         """Return the time until a missing entry counts as removed.
 
         It is counted from the end of the store's last outage, or from its last restore: entries
-        missing from a restored backup are rewritten like those that lapsed.
+        missing from a restored backup are rewritten like those that expired.
         """
         since_s = max(self._outage_ended_at_s, self._restored_at_s)
-        return since_s + LAPSE_GRACE_S - self._clock()
+        return since_s + EXPIRY_GRACE_S - self._clock()
 
     def _elapsed_s(self, since_s: float) -> float:
         """Return the time since `since_s`, rounded down, 0 if it is infinite.
--- a/dalehollow/gateway/groups.py
+++ b/dalehollow/gateway/groups.py
@@ -17,7 +17,7 @@
 class GroupRanks(Mapping[int, str]):
     """Mapping from rank to address for one group.
 
-    A restarted rank is listed twice until its old entry lapses; the entry with the newer epoch is
+    A restarted rank is listed twice until its old entry expires; the entry with the newer epoch is
     used. Any other contradiction between entries is logged once, and the mapping is then empty, so
     that the group is served but not planned.
     """
--- a/dalehollow/gateway/process.py
+++ b/dalehollow/gateway/process.py
@@ -12,7 +12,7 @@
 from dalehollow.aio import CallerConnection, CallerRequest, Handler, Limits
 from dalehollow.clock import read_clock
 from dalehollow.gateway.admit import Refusal
-from dalehollow.gateway.contact import LAPSE_HEARTBEATS, StoreContact
+from dalehollow.gateway.contact import EXPIRY_HEARTBEATS, StoreContact
 from dalehollow.gateway.copies import StoreCopies
 from dalehollow.gateway.crashes import CrashWatch
 from dalehollow.gateway.exchange import serve_request
@@ -81,7 +81,7 @@
         self._auxiliary_connections: set[CallerConnection] = set()
         self._tasks: list[asyncio.Task[None]] = []
         self._members = Members(read_clock, self._note_member)
-        outage_s = settings.heartbeat_ms / _MS_PER_S * LAPSE_HEARTBEATS
+        outage_s = settings.heartbeat_ms / _MS_PER_S * EXPIRY_HEARTBEATS
         self._feed = HallFeed(
             settings.name,
             read_clock,
--- a/dalehollow/platform/items.py
+++ b/dalehollow/platform/items.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from dalehollow.gateway.contact import LAPSE_GRACE_S
+from dalehollow.gateway.contact import EXPIRY_GRACE_S
 from dalehollow.gateway.feed import HallFeed
 from dalehollow.gateway.listed import ListedUpstream, Member
 from dalehollow.gateway.table import RoutingTable
@@ -31,7 +31,7 @@
 """An entry that was removed and reappears after a store restore is used once it is rewritten or has
 existed for this long. That is four upstream heartbeats, so the entry of an upstream that is gone
 has expired again by then."""
-LAPSE_CHECK_INTERVAL_S = 0.1
+EXPIRY_CHECK_INTERVAL_S = 0.1
 """Interval of checks whether an unreachable store is back."""
 
 _LOG = logging.getLogger(__name__)
@@ -77,15 +77,15 @@
         self._feed = feed
         feed.on_changes = self.take_changes
         feed.on_snapshot = self.take_all
-        feed.contact.on_lapse_update = self._drop_lapsed
+        feed.contact.on_expiry_update = self._drop_expired
         self._known: set[str] = set()
         # Start time of each known upstream, and the upstreams that are gone.
         self._started_at_ms: dict[str, int] = {}
         self._gone: dict[str, _RemovedUpstream] = {}
         self._restored: dict[str, _RestoredEntry] = {}
         # Missing entries that may have expired during a store outage only.
-        self._lapsing: set[str] = set()
-        self._lapse_timer: asyncio.TimerHandle | None = None
+        self._maybe_expired: set[str] = set()
+        self._expiry_timer: asyncio.TimerHandle | None = None
 
     def take_all(self, changes: tuple[Change, ...], revision: int) -> None:
         """Apply a full read; known keys missing from it are gone unless changed later."""
@@ -138,7 +138,7 @@
         if self._is_held_back(change, listed):
             return
         self._gone.pop(change.key, None)
-        self._lapsing.discard(change.key)
+        self._maybe_expired.discard(change.key)
         if listed.is_leaving:
             self._log_entry_event("entry_leaving", change.key, change.revision)
         self._started_at_ms[change.key] = listed.started_at_ms
@@ -168,9 +168,9 @@
         if self._report_gateway_key(key, None):
             self._known.discard(key)
             return
-        if key not in self._restored and self._feed.contact.may_have_lapsed():
-            self._lapsing.add(key)
-            self._drop_lapsed_later()
+        if key not in self._restored and self._feed.contact.may_have_expired():
+            self._maybe_expired.add(key)
+            self._drop_expired_later()
         else:
             self._drop(key, revision)
 
@@ -190,25 +190,27 @@
         """Log a change with its revision and the current source of store data."""
         log_event(_LOG, event, key=key, as_of=format_revision(as_of), **self._feed.describe())
 
-    def _drop_lapsed_later(self) -> None:
-        """Schedule `_drop_lapsed` for when the store has been back for long enough."""
-        if self._lapse_timer is not None:
-            self._lapse_timer.cancel()
-        pause_s = min(LAPSE_GRACE_S, max(LAPSE_CHECK_INTERVAL_S, self._feed.contact.settles_in_s()))
+    def _drop_expired_later(self) -> None:
+        """Schedule `_drop_expired` for when the store has been back for long enough."""
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+        pause_s = min(
+            EXPIRY_GRACE_S, max(EXPIRY_CHECK_INTERVAL_S, self._feed.contact.settles_in_s())
+        )
         loop = asyncio.get_running_loop()
-        self._lapse_timer = loop.call_later(pause_s, self._drop_lapsed)
+        self._expiry_timer = loop.call_later(pause_s, self._drop_expired)
 
-    def _drop_lapsed(self) -> None:
+    def _drop_expired(self) -> None:
         """Drop entries that are still missing, unless they may have expired in an outage only."""
-        if self._lapsing and self._feed.contact.may_have_lapsed():
-            self._drop_lapsed_later()
+        if self._maybe_expired and self._feed.contact.may_have_expired():
+            self._drop_expired_later()
             return
-        for key in sorted(self._lapsing):
+        for key in sorted(self._maybe_expired):
             self._drop(key, self._feed.newest_revision(key))
 
     def _drop(self, key: str, revision: int) -> None:
         self._known.discard(key)
-        self._lapsing.discard(key)
+        self._maybe_expired.discard(key)
         self._log_entry_event("entry_gone", key, revision)
         restored = self._restored.pop(key, None)
         if restored is not None:
--- a/tests/late_schedules.py
+++ b/tests/late_schedules.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from dalehollow.gateway.contact import DEFAULT_OUTAGE_S, LAPSE_GRACE_S
+from dalehollow.gateway.contact import DEFAULT_OUTAGE_S, EXPIRY_GRACE_S
 from tests.hall_world import HallWorld, Path, WorldGateway, use_world
 from tests.virtual_time import run_virtual
 
@@ -108,7 +108,7 @@
         A gateway that was cut off over both cannot tell which it is, whoever else knows.
         """
         is_gone = upstream in self.world.gone_at_s
-        return self.world.store_back_at_s + LAPSE_GRACE_S if is_gone else float("-inf")
+        return self.world.store_back_at_s + EXPIRY_GRACE_S if is_gone else float("-inf")
 
     def _peer_had_at_s(self, peer: WorldGateway, fact: int | str) -> float:
         never_s = float("inf")
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dalehollow.gateway.contact import LAPSE_GRACE_S, StoreContact
+from dalehollow.gateway.contact import EXPIRY_GRACE_S, StoreContact
 from tests.manual_clock import ManualClock
 
 OUTAGE_S = 2.0
@@ -17,38 +17,40 @@
         contact.note_answered()
         clock.now_s += 1.0
     contact.note_answered()
-    assert not contact.may_have_lapsed()
+    assert not contact.may_have_expired()
     return contact
 
 
 @pytest.mark.parametrize(
-    ("silence_s", "may_have_lapsed"), [(OUTAGE_S - 0.01, False), (OUTAGE_S + 0.01, True)]
+    ("silence_s", "may_have_expired"), [(OUTAGE_S - 0.01, False), (OUTAGE_S + 0.01, True)]
 )
-def test_only_a_long_outage_may_let_entries_lapse(silence_s: float, may_have_lapsed: bool) -> None:
+def test_only_a_long_outage_may_let_entries_expire(
+    silence_s: float, may_have_expired: bool
+) -> None:
     clock = ManualClock()
     contact = _make_contact(clock)
     clock.now_s += silence_s
-    assert contact.may_have_lapsed() is may_have_lapsed
+    assert contact.may_have_expired() is may_have_expired
     contact.note_answered()
-    assert contact.may_have_lapsed() is may_have_lapsed
+    assert contact.may_have_expired() is may_have_expired
     # The grace counts from the end of the outage; later answers do not extend it.
     for _ in range(4):
-        clock.now_s += LAPSE_GRACE_S / 4 + 0.001
+        clock.now_s += EXPIRY_GRACE_S / 4 + 0.001
         contact.note_answered()
-    assert not contact.may_have_lapsed()
+    assert not contact.may_have_expired()
 
 
 def test_peer_with_uninterrupted_contact_refutes_outage() -> None:
     clock = ManualClock()
     contact = _make_contact(clock)
     refuted = []
-    contact.on_lapse_update = lambda: refuted.append(clock.now_s)
+    contact.on_expiry_update = lambda: refuted.append(clock.now_s)
     clock.now_s += 5.0
     contact.note_answered()
-    assert contact.may_have_lapsed()
+    assert contact.may_have_expired()
     clock.now_s += 0.1
     contact.record_peer_contact(0.05, 100.0)
-    assert not contact.may_have_lapsed()
+    assert not contact.may_have_expired()
     assert refuted == [clock.now_s]
 
 
@@ -58,9 +60,9 @@
     for _ in range(20):
         clock.now_s += 0.25
         contact.record_peer_contact(0.1, 50.0)
-        assert not contact.may_have_lapsed()
+        assert not contact.may_have_expired()
     contact.note_answered()
-    assert not contact.may_have_lapsed()
+    assert not contact.may_have_expired()
 
 
 @pytest.mark.parametrize("answer_age_s", [OUTAGE_S + 0.1, float("inf")])
@@ -72,7 +74,7 @@
     clock.now_s += 5.0
     contact.note_answered()
     contact.record_peer_contact(answer_age_s, 100.0)
-    assert contact.may_have_lapsed()
+    assert contact.may_have_expired()
 
 
 def test_new_gateway_vouches_for_no_time_before_its_start() -> None:
@@ -80,7 +82,7 @@
     contact = StoreContact(clock, OUTAGE_S)
     assert contact.unbroken_s() == 0.0
     contact.note_answered()
-    assert not contact.may_have_lapsed()
+    assert not contact.may_have_expired()
     clock.now_s += 1.0
     assert contact.unbroken_s() == 1.0
     # A peer must not take the short record of a new gateway as proof that there was no outage.
@@ -88,7 +90,7 @@
     clock.now_s += 5.0
     other.note_answered()
     other.record_peer_contact(0.0, 0.5)
-    assert other.may_have_lapsed()
+    assert other.may_have_expired()
 
 
 def test_reported_uptime_does_not_grow_between_gateways() -> None:
@@ -108,28 +110,28 @@
     clock = ManualClock()
     contact = _make_contact(clock)
     updates = []
-    contact.on_lapse_update = lambda: updates.append(contact.settles_in_s())
+    contact.on_expiry_update = lambda: updates.append(contact.settles_in_s())
     clock.now_s += 6.0
     contact.note_answered()
-    assert contact.settles_in_s() == LAPSE_GRACE_S
+    assert contact.settles_in_s() == EXPIRY_GRACE_S
     contact.record_peer_contact(0.1, 1.5)
-    assert updates == [pytest.approx(LAPSE_GRACE_S - 1.5)]
+    assert updates == [pytest.approx(EXPIRY_GRACE_S - 1.5)]
 
 
 def test_grace_after_restore_counts_from_first_gateway_to_hear_of_it() -> None:
     clock = ManualClock()
     contact = _make_contact(clock)
     contact.note_era(1)
-    assert not contact.may_have_lapsed()
+    assert not contact.may_have_expired()
     contact.note_era(2)
-    assert contact.may_have_lapsed()
+    assert contact.may_have_expired()
     contact.note_era(1, 100.0)
-    assert contact.may_have_lapsed()
-    contact.note_era(2, LAPSE_GRACE_S)
-    assert not contact.may_have_lapsed()
+    assert contact.may_have_expired()
+    contact.note_era(2, EXPIRY_GRACE_S)
+    assert not contact.may_have_expired()
     # A gateway that starts in an era assumes no loss by the restore, and reports its age as 0.
     newcomer = StoreContact(clock, OUTAGE_S)
     newcomer.note_answered()
     newcomer.note_era(3)
-    assert not newcomer.may_have_lapsed()
+    assert not newcomer.may_have_expired()
     assert newcomer.era_heard_s() == 0.0
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -228,7 +228,7 @@
         store.put("servers/a", _make_entry())
         await _wait_until(lambda: set(recorded.upstreams) == {"a"})
 
-    monkeypatch.setattr(contact, "LAPSE_GRACE_S", 0.3)
+    monkeypatch.setattr(contact, "EXPIRY_GRACE_S", 0.3)
     _run(scenario)
 
 
@@ -362,7 +362,7 @@
         store.put("servers/b", _make_entry())
         await asyncio.sleep(0.1)
         store.fault = "none"
-        monkeypatch.setattr(contact, "LAPSE_GRACE_S", 0.0)
+        monkeypatch.setattr(contact, "EXPIRY_GRACE_S", 0.0)
         await _wait_until(lambda: set(recorded.upstreams) == {"b"})
         assert [t.version for t in recorded.tables] == [1, 8]
 
--- a/tests/test_what_gateways_learn.py
+++ b/tests/test_what_gateways_learn.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from dalehollow.gateway.contact import LAPSE_GRACE_S
+from dalehollow.gateway.contact import EXPIRY_GRACE_S
 from tests.hall_world import HallWorld, Path, Scenario, play_halls, run_beside
 from tests.late_chains import BOUND_S
 
@@ -106,7 +106,7 @@
         _play(monkeypatch, functools.partial(scenario, names=names, silent_s=silent_s))
 
 
-def test_entries_that_lapse_while_the_store_is_away_have_time_to_return(
+def test_entries_that_expire_while_the_store_is_away_have_time_to_return(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """One gateway hears the store again later than the others."""
@@ -124,7 +124,7 @@
         world.store.fault = "none"
         await asyncio.sleep(1.0)
         world.set_path("c", Path.PASS)
-        await asyncio.sleep(LAPSE_GRACE_S - 1.2)
+        await asyncio.sleep(EXPIRY_GRACE_S - 1.2)
         world.write_upstream(UPSTREAM, "ready")
         await asyncio.sleep(BOUND_S)
         for name in NEAR + FAR:
