--- a/dalehollow/entry/process.py
+++ b/dalehollow/entry/process.py
@@ -119,7 +119,7 @@
         self.server.start()
 
     def stop(self) -> int:
-        """Drain running requests and return how many were aborted."""
+        """Drain requests in flight and return how many were aborted."""
         self.is_leaving = True
         self._stopping.set()
         log_event(_log, "leaving")
@@ -136,7 +136,7 @@
         return left
 
     def handle(self, req: HttpRequest) -> HttpResponse:
-        """Handle one HTTP request from a client."""
+        """Handle one HTTP request from a caller."""
         if req.path == "/dalehollow/health":
             return self._answer_health()
         if req.path == "/dalehollow/metrics":
--- a/dalehollow/gateway/process.py
+++ b/dalehollow/gateway/process.py
@@ -12,7 +12,7 @@
 from dalehollow.aio import CallerConnection, CallerRequest, Handler, Limits
 from dalehollow.clock import read_clock
 from dalehollow.gateway.admit import Refusal
-from dalehollow.gateway.contact import LAPSE_HEARTBEATS, StoreContact
+from dalehollow.gateway.contact import EXPIRY_HEARTBEATS, StoreContact
 from dalehollow.gateway.copies import StoreCopies
 from dalehollow.gateway.crashes import CrashWatch
 from dalehollow.gateway.exchange import serve_request
@@ -39,8 +39,8 @@
 _MS_PER_S = 1000
 _BACKLOG = 512
 MIN_STOP_S = 3.0
-"""A stopping gateway accepts requests for this time, in which the balancer checks readiness twice,
-once per second. Later requests are refused, since they may not end within the grace period."""
+"""A gateway that shuts down accepts requests for this time, in which the balancer checks readiness
+twice, once per second. Later requests are refused: they may not end within the grace period."""
 STOPPING_RETRY_AFTER_S = 0.05
 """Another gateway can take the request at once; the delay lets the balancer choose another."""
 STOP_MARGIN_S = 0.6
@@ -81,7 +81,7 @@
         self._auxiliary_connections: set[CallerConnection] = set()
         self._tasks: list[asyncio.Task[None]] = []
         self._members = Members(read_clock, self._note_member)
-        outage_s = settings.heartbeat_ms / _MS_PER_S * LAPSE_HEARTBEATS
+        outage_s = settings.heartbeat_ms / _MS_PER_S * EXPIRY_HEARTBEATS
         self._feed = HallFeed(
             settings.name,
             read_clock,
@@ -299,24 +299,24 @@
         self._is_stopping = True
         self._planners.stop()
         last_s = began_s + self._settings.stop_grace_ms / _MS_PER_S - STOP_MARGIN_S
-        log_event(_LOG, "stopping", in_hand=self._count_busy())
+        log_event(_LOG, "stopping", in_hand=self._count_in_flight())
         self._close_idle()
         await asyncio.sleep(MIN_STOP_S)
         self.refuses_new = True
-        while self._count_busy() and loop.time() < last_s:
+        while self._count_in_flight() and loop.time() < last_s:
             await asyncio.sleep(0.02)
         server.close()
         self._close_idle()
         await self._session.end()
-        while self._count_busy() and loop.time() < last_s:
+        while self._count_in_flight() and loop.time() < last_s:
             await asyncio.sleep(0.02)
-        log_event(_LOG, "stopped", in_hand=self._count_busy())
+        log_event(_LOG, "stopped", in_hand=self._count_in_flight())
 
     def _close_idle(self) -> None:
         for caller in list(self._callers):
             caller.close_if_idle()
 
-    def _count_busy(self) -> int:
+    def _count_in_flight(self) -> int:
         return sum(1 for caller in self._callers if caller.is_busy)
 
 
--- a/dalehollow/gateway/settings.py
+++ b/dalehollow/gateway/settings.py
@@ -34,7 +34,7 @@
     metrics: str = "127.0.0.1:0"
     log_level: str = "info"
     log_lines_per_s: int = 40
-    # Time that a planned stop may take before the platform kills the process.
+    # Time that a graceful shutdown may take before the platform kills the process.
     stop_grace_ms: int = 8_000
     # Retry budget: retries that all gateways together may send to one service per window.
     retry_window_ms: int = 10_000
@@ -56,7 +56,7 @@
     plan_copy_price_mb: float = 0.00015
     plan_begin_gain: float = 0.3
     plan_memory: float = 0.8
-    # Time that a rank may copy weights in one change; further copies follow once it is in force.
+    # Time that a rank may copy weights in one change; further copies follow once it is active.
     plan_copy_ms: int = 450
     # The same for 60 s after a pause of this share of the longest that callers tolerate.
     plan_pressed_share: float = 0.85
--- a/tests/late_schedules.py
+++ b/tests/late_schedules.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from dalehollow.gateway.contact import DEFAULT_OUTAGE_S, LAPSE_GRACE_S
+from dalehollow.gateway.contact import DEFAULT_OUTAGE_S, EXPIRY_GRACE_S
 from tests.hall_world import HallWorld, Path, SimulatedGateway, use_world
 from tests.virtual_time import run_virtual
 
@@ -108,7 +108,7 @@
         A gateway that was cut off during both cannot tell which it is, even if others can.
         """
         is_gone = upstream in self.world.gone_at_s
-        return self.world.store_recovered_at_s + LAPSE_GRACE_S if is_gone else float("-inf")
+        return self.world.store_recovered_at_s + EXPIRY_GRACE_S if is_gone else float("-inf")
 
     def _peer_known_at_s(self, peer: SimulatedGateway, fact: int | str) -> float:
         never_s = float("inf")
--- a/tests/test_what_gateways_learn.py
+++ b/tests/test_what_gateways_learn.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from dalehollow.gateway.contact import LAPSE_GRACE_S
+from dalehollow.gateway.contact import EXPIRY_GRACE_S
 from tests.hall_world import HallWorld, Path, Scenario, run_halls, run_with_background
 from tests.late_chains import BOUND_S
 
@@ -123,7 +123,7 @@
         _run_two_halls(monkeypatch, functools.partial(scenario, names=names, silent_s=silent_s))
 
 
-def test_entries_that_lapse_in_a_store_outage_have_a_grace_period(
+def test_entries_that_expire_in_a_store_outage_have_a_grace_period(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """One gateway reaches the store again later than the others."""
@@ -141,7 +141,7 @@
         world.store.fault = "none"
         await asyncio.sleep(1.0)
         world.set_path("c", Path.PASS)
-        await asyncio.sleep(LAPSE_GRACE_S - 1.2)
+        await asyncio.sleep(EXPIRY_GRACE_S - 1.2)
         world.write_upstream(UPSTREAM, "ready")
         await asyncio.sleep(BOUND_S)
         for name in GATEWAYS + REMOTE_GATEWAYS:
