--- a/tests/gateway_bench.py
+++ b/tests/gateway_bench.py
@@ -84,7 +84,7 @@
         address = await listen(server.handle)
         self.servers[incarnation] = server
         self.list_server(incarnation, address, slots=slots)
-        await self.until(lambda: self.gateway.state.upstreams.find(incarnation) is not None)
+        await self.wait_until(lambda: self.gateway.state.upstreams.find(incarnation) is not None)
         return server
 
     def list_server(self, incarnation: str, address: str, **changes: object) -> None:
@@ -115,35 +115,35 @@
     async def apply(self, config: Mapping[str, object]) -> None:
         """Store a configuration and wait until it is in force at the gateway."""
         self.store.put("op/config", msgspec.json.encode(config))
-        await self.until(lambda: self.version() == config["version"])
+        await self.wait_until(lambda: self.version() == config["version"])
 
     def version(self) -> int | None:
         """Return the configuration version in force at the gateway."""
         table = self.gateway.state.table
         return table.version if table is not None else None
 
-    async def until(self, is_so: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         """Wait until a condition holds."""
-        while not is_so():
+        while not condition():
             await asyncio.sleep(0.001)
 
     async def connect(self) -> ClientConnection:
         """Open a connection to the gateway."""
         return await connect(self.gateway.http, TIMEOUT_S)
 
-    async def ask(
+    async def send_request(
         self,
         path: str,
         *,
         connection: ClientConnection | None = None,
         headers: Mapping[str, str] | None = None,
-        left_ms: int = 5000,
+        deadline_ms: int = 5000,
         key: str | None = KEY,
         body: bytes = b"",
     ) -> Answer:
         """Send a request and return its answer."""
         connection = connection or await self.connect()
-        connection.send([make_request(path, next(self._ids), headers, left_ms, key, body)])
+        connection.send([make_request(path, next(self._ids), headers, deadline_ms, key, body)])
         return await read_answer(connection)
 
     async def is_ready(self) -> bool:
@@ -155,32 +155,32 @@
         return head.status == 200
 
 
-async def say_ready_again(bench: GatewayBench) -> None:
+async def rewrite_entry(bench: GatewayBench) -> None:
     """Rewrite the entry of s0 as ready and wait until the gateway has read it."""
     bench.list_server("s0", str(bench.read_entry("s0")["address"]), sequence=2, slots=3)
-    await bench.until(lambda: bench.listed("s0").slots == 3)
+    await bench.wait_until(lambda: bench.listed("s0").slots == 3)
 
 
-async def lapse_and_return(bench: GatewayBench) -> None:
+async def delete_and_rewrite_entry(bench: GatewayBench) -> None:
     """Delete the entry of s0 and write it again, waiting for the gateway each time."""
     address = str(bench.read_entry("s0")["address"])
     bench.store.delete("servers/s0")
-    await bench.until(lambda: bench.gateway.state.upstreams.find("s0") is None)
+    await bench.wait_until(lambda: bench.gateway.state.upstreams.find("s0") is None)
     bench.list_server("s0", address)
-    await bench.until(lambda: bench.gateway.state.upstreams.find("s0") is not None)
+    await bench.wait_until(lambda: bench.gateway.state.upstreams.find("s0") is not None)
 
 
 def make_request(
     path: str,
     number: int,
     headers: Mapping[str, str] | None = None,
-    left_ms: int = 5000,
+    deadline_ms: int = 5000,
     key: str | None = KEY,
     body: bytes = b"",
 ) -> bytes:
     """Return the bytes of a caller's request."""
     lines = [f"POST {path} HTTP/1.1", f"Host: {HOST}", f"X-Request-Id: r{number}"]
-    lines += [f"X-Deadline-Ms: {left_ms}", f"Content-Length: {len(body)}"]
+    lines += [f"X-Deadline-Ms: {deadline_ms}", f"Content-Length: {len(body)}"]
     lines += [f"X-Key: {key}"] if key is not None else []
     lines += [f"{k}: {v}" for k, v in (headers or {}).items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
@@ -247,7 +247,7 @@
 
 
 @contextmanager
-def replaced(owner: object, name: str, value: object) -> Iterator[None]:
+def override_attribute(owner: object, name: str, value: object) -> Iterator[None]:
     """Set an attribute temporarily, such as a constant that would make a test slow."""
     before = getattr(owner, name)
     setattr(owner, name, value)
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -465,7 +465,7 @@
         )
 
 
-def use_world(world: HallWorld, monkeypatch: pytest.MonkeyPatch) -> None:
+def connect_through(world: HallWorld, monkeypatch: pytest.MonkeyPatch) -> None:
     """Make store clients connect through a world; their addresses are the names of gateways."""
     monkeypatch.setattr(store_module, "connect", world.connect)
 
@@ -484,7 +484,7 @@
 ) -> None:
     """Start the gateways of each hall, named by letters, wait until they settle, run a scenario."""
     world = HallWorld(padding_bytes=padding_bytes)
-    use_world(world, monkeypatch)
+    connect_through(world, monkeypatch)
 
     async def main() -> None:
         world.start_all(halls, upstreams)
--- a/tests/late_chains.py
+++ b/tests/late_chains.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.hall_world import HallWorld, Path, use_world
+from tests.hall_world import HallWorld, Path, connect_through
 from tests.virtual_time import run_virtual
 
 BOUND_S = 1.8
@@ -104,10 +104,10 @@
 }
 
 
-def play_chain(chain: Chain, phase_s: float, monkeypatch: pytest.MonkeyPatch) -> Lags:
+def run_chain(chain: Chain, phase_s: float, monkeypatch: pytest.MonkeyPatch) -> Lags:
     """Run a chain and return the longest lags of b."""
     world = HallWorld(seed=round(phase_s * 100))
-    use_world(world, monkeypatch)
+    connect_through(world, monkeypatch)
 
     async def main() -> Lags:
         world.apply()
--- a/tests/late_schedules.py
+++ b/tests/late_schedules.py
@@ -17,7 +17,7 @@
 import pytest
 
 from dalehollow.gateway.contact import DEFAULT_OUTAGE_S, LAPSE_GRACE_S
-from tests.hall_world import HallWorld, Path, SimulatedGateway, use_world
+from tests.hall_world import HallWorld, Path, SimulatedGateway, connect_through
 from tests.virtual_time import run_virtual
 
 SETTLE_S = 3.0
@@ -279,11 +279,11 @@
 )
 
 
-def play_schedule(seed: int, bound_s: float, monkeypatch: pytest.MonkeyPatch) -> list[MissedFact]:
+def run_schedule(seed: int, bound_s: float, monkeypatch: pytest.MonkeyPatch) -> list[MissedFact]:
     """Run one schedule and return the facts that a gateway missed."""
     rng = random.Random(seed)
     world = HallWorld(seed, padding_bytes=rng.choice([0, 0, 30_000, 100_000]))
-    use_world(world, monkeypatch)
+    connect_through(world, monkeypatch)
 
     async def main() -> list[MissedFact]:
         world.start_all(HALLS, UPSTREAMS)
--- a/tests/test_config_in_time.py
+++ b/tests/test_config_in_time.py
@@ -21,8 +21,8 @@
 from dalehollow.gateway.feed import HallFeed
 from dalehollow.platform import follow
 from tests.hall_world import SETTLE_S, HallWorld, Path, Scenario, run_halls, run_with_background
-from tests.late_chains import BOUND_S, CHAINS, PHASES_S, Chain, play_chain
-from tests.late_schedules import play_schedule
+from tests.late_chains import BOUND_S, CHAINS, PHASES_S, Chain, run_chain
+from tests.late_schedules import run_schedule
 
 RECOVERY_S = 3.0
 """The bound applies to a gateway that has been free of failures for this long."""
@@ -136,7 +136,7 @@
 def test_no_chain_of_failures_makes_a_gateway_learn_late(
     chain: Chain, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    lags = [play_chain(chain, phase_s, monkeypatch) for phase_s in PHASES_S]
+    lags = [run_chain(chain, phase_s, monkeypatch) for phase_s in PHASES_S]
     assert max(max(lag.config_s, lag.leaving_s, lag.gone_s) for lag in lags) < BOUND_S, lags
 
 
@@ -144,7 +144,7 @@
 def test_random_schedules_of_failures_stay_within_the_bound(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert play_schedule(seed, BOUND_S, monkeypatch) == []
+    assert run_schedule(seed, BOUND_S, monkeypatch) == []
 
 
 def _disable_copies(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -186,4 +186,4 @@
     defect: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     defect(monkeypatch)
-    assert any(play_schedule(seed, BOUND_S, monkeypatch) for seed in range(1, 41))
+    assert any(run_schedule(seed, BOUND_S, monkeypatch) for seed in range(1, 41))
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -34,7 +34,7 @@
         server.on_crash = _make_restart(bench, name, address, starts)
         bench.servers[name] = server
         bench.list_server(name, address, born=next(starts))
-    await bench.until(lambda: len(list(bench.gateway.state.upstreams)) == UPSTREAMS)
+    await bench.wait_until(lambda: len(list(bench.gateway.state.upstreams)) == UPSTREAMS)
 
 
 def _make_restart(
@@ -49,7 +49,7 @@
     def knows(name: str) -> bool:
         return bench.listed(name).started_at_ms == bench.read_entry(name)["born"]
 
-    await bench.until(lambda: all(map(knows, bench.servers)))
+    await bench.wait_until(lambda: all(map(knows, bench.servers)))
 
 
 def _count_crashes(bench: GatewayBench) -> int:
@@ -62,7 +62,7 @@
         async def scenario(bench: GatewayBench, path: str = path) -> None:
             await _add_crashing(bench)
             for _ in range(12):
-                answer = await bench.ask(path, body=CRASHES)
+                answer = await bench.send_request(path, body=CRASHES)
                 await _wait_for_restarts(bench)
             assert _count_crashes(bench) <= MAX_ARRIVALS
             assert answer.status == 503
@@ -89,9 +89,9 @@
             port = listening.sockets[0].getsockname()[1]
             bench.servers[name] = server
             bench.list_server(name, f"127.0.0.1:{port}")
-        await bench.until(lambda: len(list(bench.gateway.state.upstreams)) == UPSTREAMS)
+        await bench.wait_until(lambda: len(list(bench.gateway.state.upstreams)) == UPSTREAMS)
         for _ in range(UPSTREAMS):
-            await bench.ask("/read/1", body=CRASHES)
+            await bench.send_request("/read/1", body=CRASHES)
         assert _count_crashes(bench) == 3
 
     run_bench(scenario)
@@ -107,19 +107,19 @@
                 server.ways, server.reached = [Way.HANG], asyncio.Event()
             connections = [await bench.connect() for _ in range(UPSTREAMS)]
             others = [
-                asyncio.ensure_future(bench.ask("/pay/1", connection=c, body=b"harmless"))
+                asyncio.ensure_future(bench.send_request("/pay/1", connection=c, body=b"harmless"))
                 for c in connections
             ]
             for server in bench.servers.values():
                 await server.reached.wait()
-            await bench.ask("/pay/1", body=CRASHES)
+            await bench.send_request("/pay/1", body=CRASHES)
             await _wait_for_restarts(bench)
             for task, connection in zip(others, connections, strict=True):
                 task.cancel()
                 connection.abort()
             for server in bench.servers.values():
                 server.ways = []
-            assert (await bench.ask("/pay/1", body=b"harmless")).status == 200
-            assert (await bench.ask("/pay/1")).status == 200
+            assert (await bench.send_request("/pay/1", body=b"harmless")).status == 200
+            assert (await bench.send_request("/pay/1")).status == 200
 
     run_bench(scenario)
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -17,7 +17,7 @@
 from dalehollow.gateway.upstream import Move
 from dalehollow.gateway.upstreams import UpstreamSet
 from dalehollow.platform.servers import decode_upstream
-from tests.hall_world import HallWorld, use_world
+from tests.hall_world import HallWorld, connect_through
 from tests.late_chains import BOUND_S
 from tests.virtual_time import run_virtual
 
@@ -134,7 +134,7 @@
 
 def _run_restored_store(monkeypatch: pytest.MonkeyPatch, *, announces_leaving: bool) -> None:
     world = HallWorld()
-    use_world(world, monkeypatch)
+    connect_through(world, monkeypatch)
     name = "upstream-1"
 
     async def main() -> None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -14,7 +14,7 @@
     TIMEOUT_S,
     GatewayBench,
     make_config,
-    replaced,
+    override_attribute,
     run_bench,
 )
 
@@ -27,7 +27,7 @@
 def test_without_configuration_is_not_ready_and_answers_503() -> None:
     async def scenario(bench: GatewayBench) -> None:
         assert not await bench.is_ready()
-        answer = await bench.ask("/read/1")
+        answer = await bench.send_request("/read/1")
         assert answer.status == 503
         assert answer.head.get(b"retry-after") is not None
         await bench.apply(make_config())
@@ -49,7 +49,7 @@
 def test_route_and_key_decide(path: str, key: str | None, status: int) -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench)
-        assert (await bench.ask(path, key=key)).status == status
+        assert (await bench.send_request(path, key=key)).status == status
 
     run_bench(scenario)
 
@@ -58,9 +58,9 @@
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench)
         connection = await bench.connect()
-        assert (await bench.ask("/read/1", connection=connection)).status == 200
+        assert (await bench.send_request("/read/1", connection=connection)).status == 200
         await bench.apply(make_config(2, tenants=[{"name": "ana", "apiKeys": []}]))
-        assert (await bench.ask("/read/1", connection=connection)).status == 401
+        assert (await bench.send_request("/read/1", connection=connection)).status == 401
 
     run_bench(scenario)
 
@@ -72,9 +72,9 @@
         bench.store.forget_history()
         bench.store.put("op/config", b'{"version": "unreadable"}')
         calls = len(bench.store.calls)
-        await bench.until(lambda: len(bench.store.calls) > calls + 2)
+        await bench.wait_until(lambda: len(bench.store.calls) > calls + 2)
         assert bench.version() == 7
-        assert (await bench.ask("/read/1")).status == 200
+        assert (await bench.send_request("/read/1")).status == 200
 
     run_bench(scenario)
 
@@ -91,7 +91,7 @@
             "X-Hop": "dropped",
         }
         assert (
-            await bench.ask("/read/a%2Fb?q=%20", headers=sent_headers, body=b"hand")
+            await bench.send_request("/read/a%2Fb?q=%20", headers=sent_headers, body=b"hand")
         ).status == 200
         seen = bench.servers["s1"].seen[0]
         assert seen.method == b"POST"
@@ -128,7 +128,7 @@
         await bench.add_server("s2")
         # Makes the failing server the first choice.
         bench.gateway.state.upstreams.adjust_others("s2", 1)
-        answer = await bench.ask(path)
+        answer = await bench.send_request(path)
         assert answer.status == status
         assert answer.is_whole
         if status == 200:
@@ -142,7 +142,7 @@
 def test_refused_request_has_not_run_and_has_retry_after(way: Way) -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench, way, way, way)
-        answer = await bench.ask("/pay/1")
+        answer = await bench.send_request("/pay/1")
         assert answer.status == 503
         assert answer.head.get(b"retry-after") is not None
         assert answer.head.get(b"x-response-seal") is None
@@ -155,7 +155,7 @@
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench, Way.REFUSE_BROKEN)
         await bench.add_server("s2", Way.REFUSE_BROKEN)
-        assert (await bench.ask("/stream/1")).status == 503
+        assert (await bench.send_request("/stream/1")).status == 503
         assert sum(len(s.seen) for s in bench.servers.values()) == 1
 
     run_bench(scenario)
@@ -166,7 +166,7 @@
         await _start_server(bench, Way.CUT_IN_EVENT)
         await bench.add_server("s2", Way.CUT_IN_EVENT)
         await bench.add_server("s3")
-        answer = await bench.ask("/stream/1")
+        answer = await bench.send_request("/stream/1")
         assert answer.is_whole
         assert answer.body == whole_stream()
         resume_positions = [s.get(b"last-event-id") for x in bench.servers.values() for s in x.seen]
@@ -178,7 +178,7 @@
 def test_stream_that_cannot_resume_is_cut_off() -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench, Way.CUT_IN_EVENT)
-        answer = await bench.ask("/stream/1")
+        answer = await bench.send_request("/stream/1")
         assert answer.status == 200
         assert not answer.is_whole
         assert answer.body == make_event(1) + make_event(2)
@@ -189,7 +189,7 @@
 def test_last_event_id_of_the_caller_is_forwarded() -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench)
-        answer = await bench.ask("/stream/1", headers={"Last-Event-Id": str(EVENTS - 1)})
+        answer = await bench.send_request("/stream/1", headers={"Last-Event-Id": str(EVENTS - 1)})
         assert answer.body == make_event(EVENTS)
 
     run_bench(scenario)
@@ -200,13 +200,13 @@
         await _start_server(bench, Way.HANG)
         server = bench.servers["s1"]
         connection = await bench.connect()
-        request_task = asyncio.ensure_future(bench.ask("/read/1", connection=connection))
+        request_task = asyncio.ensure_future(bench.send_request("/read/1", connection=connection))
         await server.reached.wait()
         connection.abort()
         await server.left.wait()
         assert len(server.cancelled) == 1
         request_task.cancel()
-        await bench.until(lambda: not any(u.in_flight for u in bench.gateway.state.upstreams))
+        await bench.wait_until(lambda: not any(u.in_flight for u in bench.gateway.state.upstreams))
 
     run_bench(scenario)
 
@@ -214,7 +214,7 @@
 def test_expired_deadline_is_answered_with_504() -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench, Way.HANG)
-        answer = await bench.ask("/read/1", left_ms=100)
+        answer = await bench.send_request("/read/1", deadline_ms=100)
         assert answer.status == 504
         assert answer.is_whole
 
@@ -228,9 +228,9 @@
         listed = bench.gateway.state.upstreams.find("s1")
         assert listed is not None
         bench.list_server("s1", listed.address, state="draining")
-        await bench.until(lambda: len(bench.gateway.state.upstreams.of_service("desk")) == 1)
+        await bench.wait_until(lambda: len(bench.gateway.state.upstreams.of_service("desk")) == 1)
         for _ in range(6):
-            assert (await bench.ask("/read/1")).status == 200
+            assert (await bench.send_request("/read/1")).status == 200
         assert bench.servers["s1"].seen == []
 
     run_bench(scenario)
@@ -242,21 +242,23 @@
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench, Way.WELL, Way.HANG)
         idle, busy = await bench.connect(), await bench.connect()
-        assert (await bench.ask("/read/1", connection=idle)).status == 200
-        request_task = asyncio.ensure_future(bench.ask("/read/2", connection=busy, left_ms=2000))
-        await bench.until(lambda: len(bench.servers["s1"].seen) == 2)
+        assert (await bench.send_request("/read/1", connection=idle)).status == 200
+        request_task = asyncio.ensure_future(
+            bench.send_request("/read/2", connection=busy, deadline_ms=2000)
+        )
+        await bench.wait_until(lambda: len(bench.servers["s1"].seen) == 2)
         bench.stopping.set()
         with pytest.raises(ConnectionError):
             await idle.read_head()
         assert not await bench.is_ready()
-        await bench.until(lambda: bench.gateway.refuses_new)
-        late_answer = await bench.ask("/read/3")
+        await bench.wait_until(lambda: bench.gateway.refuses_new)
+        late_answer = await bench.send_request("/read/3")
         assert late_answer.status == 503
         assert late_answer.head.get(b"retry-after") is not None
         assert (await request_task).status == 504
         await bench.running
 
-    with replaced(process, "MIN_STOP_S", 0.01):
+    with override_attribute(process, "MIN_STOP_S", 0.01):
         run_bench(scenario)
 
 
@@ -271,12 +273,14 @@
             connection = await bench.connect()
             connection.send([text.encode()])
             assert (await connection.read_head()).status == 400
-        too_large_head = await bench.ask("/read/1", headers={"X-Long": "x" * 5000})
+        too_large_head = await bench.send_request("/read/1", headers={"X-Long": "x" * 5000})
         assert too_large_head.status == 431
-        assert (await bench.ask("/read/1", body=b"x" * 5000)).status == 413
-        assert (await bench.ask("/read/1", headers={"X-Deadline-Ms": "soon"})).status == 200
+        assert (await bench.send_request("/read/1", body=b"x" * 5000)).status == 413
+        assert (
+            await bench.send_request("/read/1", headers={"X-Deadline-Ms": "soon"})
+        ).status == 200
         assert len(bench.servers["s1"].seen) == 1
-        assert (await bench.ask("/read/1")).status == 200
+        assert (await bench.send_request("/read/1")).status == 200
 
     run_bench(scenario)
 
@@ -292,8 +296,8 @@
 
         bench.gateway.state.admission = fail_once  # type: ignore[method-assign, assignment]
         with pytest.raises(ConnectionError):
-            await bench.ask("/read/1")
-        assert (await bench.ask("/read/1")).status == 200
+            await bench.send_request("/read/1")
+        assert (await bench.send_request("/read/1")).status == 200
 
     run_bench(scenario)
 
@@ -303,10 +307,10 @@
 
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench, *[Way.OTHER_SERVER] * 9)
-        assert (await bench.ask("/read/1")).status == 503
+        assert (await bench.send_request("/read/1")).status == 503
         await bench.add_server("s2")
         for number in range(4):
-            assert (await bench.ask(f"/read/{number}")).status == 200
+            assert (await bench.send_request(f"/read/{number}")).status == 200
         assert len(bench.servers["s1"].seen) == 1
 
     run_bench(scenario)
@@ -321,16 +325,16 @@
         group = {"name": "g", "epoch": 1, "rank": 0, "state": "open"}
         address = bench.gateway.state.upstreams.find("s1").address  # type: ignore[union-attr]
         bench.list_server("s1", address, group=group, size=2)
-        await bench.until(lambda: bench.gateway.state.upstreams.find("s1").group == "g")  # type: ignore[union-attr]
+        await bench.wait_until(lambda: bench.gateway.state.upstreams.find("s1").group == "g")  # type: ignore[union-attr]
         slow_server.pace_s = TIMEOUT_S / (EVENTS - 1)
-        request_task = asyncio.ensure_future(bench.ask("/stream/1"))
+        request_task = asyncio.ensure_future(bench.send_request("/stream/1"))
         await slow_server.reached.wait()
         other_server = await bench.add_server("s2")
         plan = StoredPlan(demand=(), slow_ranks=(0,))
         other_entry = bench.gateway.state.upstreams.find("s2")
         assert other_entry is not None
         bench.list_server("s2", other_entry.address, group={**group, "rank": 1}, size=2)
-        await bench.until(lambda: bench.gateway.state.upstreams.find("s2").group == "g")  # type: ignore[union-attr]
+        await bench.wait_until(lambda: bench.gateway.state.upstreams.find("s2").group == "g")  # type: ignore[union-attr]
         bench.gateway._planners.note_plan("desk/g", plan)
         answer = await request_task
         assert answer.is_whole and answer.body == whole_stream()
@@ -346,7 +350,7 @@
         await _start_server(bench)
         server = bench.servers["s1"]
         server.pace_s = 0.2
-        request_task = asyncio.ensure_future(bench.ask("/pay/1"))
+        request_task = asyncio.ensure_future(bench.send_request("/pay/1"))
         await server.reached.wait()
         assert all(not u.moves for u in bench.gateway.state.upstreams)
         assert (await request_task).status == 200
--- a/tests/test_rank_groups.py
+++ b/tests/test_rank_groups.py
@@ -183,7 +183,7 @@
 
     async def scenario(bench: GatewayBench) -> None:
         _list_groups(bench)
-        await bench.until(lambda: len(bench.gateway.state.upstreams.of_group("desk/g1")) == 2)
+        await bench.wait_until(lambda: len(bench.gateway.state.upstreams.of_group("desk/g1")) == 2)
         gateway = bench.gateway
         for number in range(4):
             gateway._apply_listed(f"near-{number}", Member("127.0.0.1:9", "hall"))
@@ -192,7 +192,7 @@
         for rank in range(2):
             entry = {"name": "g1", "epoch": 1, "rank": rank, "state": "open"}
             bench.list_server(f"g1-{rank}", "127.0.0.1:9", group=entry, size=2, zone="elsewhere")
-        await bench.until(lambda: gateway.state.upstreams.home_hall("desk/g1") == "elsewhere")
+        await bench.wait_until(lambda: gateway.state.upstreams.home_hall("desk/g1") == "elsewhere")
         assert gateway._planners._count_duty_predecessors("desk/g1") >= 4
 
     run_bench(scenario)
@@ -215,16 +215,18 @@
 def test_one_gateway_plans_both_groups_and_takes_over_a_single_duty() -> None:
     async def scenario(bench: GatewayBench) -> None:
         bench.store.put("dalehollow/duties/desk/g0", b"another")
-        await bench.until(lambda: bench.gateway._planners.holders.get("desk/g0") == "another")
+        await bench.wait_until(lambda: bench.gateway._planners.holders.get("desk/g0") == "another")
         service = {"name": "desk", "maxConnections": 9, "engine": _ENGINE}
         await bench.apply(make_config(2, services=[service]))
         _list_groups(bench)
-        await bench.until(lambda: set(bench.gateway._planners.by_group) == {"desk/g0", "desk/g1"})
+        await bench.wait_until(
+            lambda: set(bench.gateway._planners.by_group) == {"desk/g0", "desk/g1"}
+        )
         session = bench.gateway._session
-        await bench.until(lambda: session.fence("desk/g1") is not None)
+        await bench.wait_until(lambda: session.fence("desk/g1") is not None)
         assert session.fence("desk/g0") is None
         bench.store.delete("dalehollow/duties/desk/g0")
-        await bench.until(lambda: session.fence("desk/g0") is not None)
+        await bench.wait_until(lambda: session.fence("desk/g0") is not None)
         assert session.fence("desk/g1") is not None
 
     run_bench(scenario)
@@ -235,7 +237,7 @@
         service = {"name": "desk", "maxConnections": 9, "engine": _ENGINE}
         await bench.apply(make_config(2, services=[service]))
         _list_groups(bench)
-        await bench.until(lambda: len(bench.gateway._planners.by_group) == 2)
+        await bench.wait_until(lambda: len(bench.gateway._planners.by_group) == 2)
         bench.gateway._planners.note_plan("desk/g0", StoredPlan(((9, 0, 0, 0),)))
         planners = bench.gateway._planners.by_group
         assert planners["desk/g0"]._stored_demand and not planners["desk/g1"]._stored_demand
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -26,7 +26,7 @@
     PeerMessage,
     Suspicion,
 )
-from tests.gateway_bench import replaced
+from tests.gateway_bench import override_attribute
 from tests.manual_clock import ManualClock
 
 NEAR, NEAR_2, FAR, FAR_2 = (("127.0.0.1", port) for port in (1, 2, 3, 4))
@@ -177,7 +177,7 @@
         bench.receive(HallReport("hall-2", {"s1": 1}, {}, {}), FAR)
         (upstream,) = bench.upstreams
         assert upstream.known_in_flight() == 3
-        with replaced(reports.asyncio, "get_running_loop", lambda: _Later()):
+        with override_attribute(reports.asyncio, "get_running_loop", lambda: _Later()):
             bench.reports._drop_silent(bench.reports._peer_loads)
             bench.reports._drop_silent(bench.reports._hall_loads)
         assert upstream.known_in_flight() == 0
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -25,8 +25,8 @@
     GatewayBench,
     make_config,
     make_request,
+    override_attribute,
     read_answer,
-    replaced,
     run_bench,
     start_gateway,
 )
@@ -49,9 +49,9 @@
         await bench.add_server("s1", Way.REFUSE, slots=9)
         bench.gateway.state.retry_window("desk").rounding_offset = 0.0
         with caplog.at_level(logging.INFO):
-            await bench.ask("/read/1")
+            await bench.send_request("/read/1")
             bench.servers["s0"].ways, bench.servers["s1"].ways = [Way.REFUSE], [Way.REFUSE]
-            await bench.ask("/read/2")
+            await bench.send_request("/read/2")
         state = bench.gateway.state
         assert state.metrics.counts()['retries{allowed="true",service="desk"}'] == 1
         assert state.metrics.counts()['retries{allowed="false",service="desk"}'] == 1
@@ -106,8 +106,8 @@
     running = [asyncio.ensure_future(gateway.run(asyncio.Event())) for gateway in gateways]
     for gateway in gateways:
         await gateway.listening.wait()
-        await bench.until(lambda g=gateway: g.is_ready())  # type: ignore[misc]
-        await bench.until(lambda g=gateway: len(list(g.state.upstreams)) == 2)  # type: ignore[misc]
+        await bench.wait_until(lambda g=gateway: g.is_ready())  # type: ignore[misc]
+        await bench.wait_until(lambda g=gateway: len(list(g.state.upstreams)) == 2)  # type: ignore[misc]
     try:
         yield gateways
     finally:
@@ -169,7 +169,7 @@
 def test_fleet_keeps_to_its_retry_budget_when_callers_wait_for_suspended_gateways() -> None:
     """Guards against retries for a backlog that suspended gateways accept all at once."""
     schedule = draw_schedule(random.Random(41), SIZES["medium"].gateways)
-    with replaced(retry_fleet, "CALLER_TIMEOUT_S", 8.0):
+    with override_attribute(retry_fleet, "CALLER_TIMEOUT_S", 8.0):
         assert Fleet(SIZES["medium"], schedule, seed=41).run().worst_excess() <= 0
 
 
@@ -205,9 +205,9 @@
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         arrivals = await _add_failing_servers(bench, way)
-        await bench.until(lambda: len(list(bench.gateway.state.upstreams)) == 2)
+        await bench.wait_until(lambda: len(list(bench.gateway.state.upstreams)) == 2)
         bench.gateway.state.retry_window("desk").rounding_offset = 0.0
-        statuses = Counter([(await bench.ask("/read/1")).status for _ in range(60)])
+        statuses = Counter([(await bench.send_request("/read/1")).status for _ in range(60)])
         assert arrivals.total() - len(arrivals) == statuses[200] == 21
         failed_status = {Way.CUT_UNANSWERED: 502, Way.ERROR: 500, Way.REFUSE: 503}[way]
         assert statuses[failed_status] == 39
@@ -231,10 +231,10 @@
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         await bench.add_server("s0", Way.HANG, slots=1)
-        hanging = asyncio.ensure_future(bench.ask("/read/1"))
+        hanging = asyncio.ensure_future(bench.send_request("/read/1"))
         await bench.servers["s0"].reached.wait()
         await bench.add_server("s1", Way.REFUSE, slots=1)
-        assert (await bench.ask("/read/2", left_ms=200)).status == 503
+        assert (await bench.send_request("/read/2", deadline_ms=200)).status == 503
         assert bench.gateway.state.metrics.counts()['retries{allowed="true",service="desk"}'] == 1
         assert bench.gateway.state.describe_retries()["desk"]["retries"] == 0
         hanging.cancel()
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.hall_world import HallWorld, SimulatedGateway, use_world
+from tests.hall_world import HallWorld, SimulatedGateway, connect_through
 from tests.late_chains import BOUND_S
 from tests.virtual_time import run_virtual
 
@@ -46,7 +46,7 @@
 ) -> dict[str, SimulatedGateway]:
     """Restore the store, wait, then change the configuration and announce a leaving upstream."""
     world = HallWorld()
-    use_world(world, monkeypatch)
+    connect_through(world, monkeypatch)
 
     async def main() -> dict[str, SimulatedGateway]:
         world.apply()
--- a/tests/test_suspended_vm.py
+++ b/tests/test_suspended_vm.py
@@ -20,7 +20,7 @@
 from standins.metadata import MetadataStandIn
 from standins.platform import listen
 from tests.fake_keyvalue import FakeKeyValue
-from tests.gateway_bench import TIMEOUT_S, GatewayBench, make_config, replaced, run_bench
+from tests.gateway_bench import TIMEOUT_S, GatewayBench, make_config, override_attribute, run_bench
 
 SUSPENDED_S = 5.0
 
@@ -33,7 +33,7 @@
     def read_advanced(clock: int) -> float:
         return original_gettime(clock) + (for_s if clock == time.CLOCK_BOOTTIME else 0.0)
 
-    with replaced(time, "clock_gettime", read_advanced):
+    with override_attribute(time, "clock_gettime", read_advanced):
         yield
 
 
@@ -63,7 +63,7 @@
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         gateway = bench.gateway
-        await bench.until(lambda: gateway._feed.relay_state() is not None)
+        await bench.wait_until(lambda: gateway._feed.relay_state() is not None)
         age_before_s = gateway._feed.contact.answer_age_s()
         with suspended():
             assert gateway._feed.relay_state() is None
@@ -88,6 +88,6 @@
         with suspended(60.0):
             assert upstream.takes_requests(clock())
             assert window.try_take(clock())
-        assert (await bench.ask("/read/1")).status == 503
+        assert (await bench.send_request("/read/1")).status == 503
 
     run_bench(scenario)
--- a/tests/test_upstream_leaves.py
+++ b/tests/test_upstream_leaves.py
@@ -15,10 +15,10 @@
 from standins.server import Way, whole_stream
 from tests.gateway_bench import (
     GatewayBench,
-    lapse_and_return,
+    delete_and_rewrite_entry,
     make_config,
+    rewrite_entry,
     run_bench,
-    say_ready_again,
 )
 
 REQUESTS = 20
@@ -30,13 +30,13 @@
     await bench.apply(make_config())
     leaving = await bench.add_server("s0", *ways)
     leaving.says = [LEAVING]
-    await bench.ask(path)
+    await bench.send_request(path)
 
 
 async def _count_received(bench: GatewayBench) -> int:
     before = len(bench.servers["s0"].seen)
     for _ in range(REQUESTS):
-        await bench.ask("/read/1")
+        await bench.send_request("/read/1")
     return len(bench.servers["s0"].seen) - before
 
 
@@ -57,13 +57,13 @@
     async def scenario(bench: GatewayBench) -> None:
         await _add_leaving_upstream(bench, "/read/0")
         assert await _count_received(bench) == 0
-        assert (await bench.ask("/read/1")).status == 503
+        assert (await bench.send_request("/read/1")).status == 503
 
     run_bench(scenario)
 
 
 def test_the_list_does_not_reset_an_announcement_of_leaving() -> None:
-    for update_list in (say_ready_again, lapse_and_return):
+    for update_list in (rewrite_entry, delete_and_rewrite_entry):
 
         async def scenario(
             bench: GatewayBench,
@@ -82,8 +82,8 @@
         await _add_leaving_upstream(bench, "/read/0")
         bench.servers["s0"].says = []
         bench.list_server("s0", str(bench.read_entry("s0")["address"]), born=7)
-        await bench.until(lambda: bench.listed("s0").started_at_ms == 7)
-        assert (await bench.ask("/read/1")).status == 200
+        await bench.wait_until(lambda: bench.listed("s0").started_at_ms == 7)
+        assert (await bench.send_request("/read/1")).status == 200
 
     run_bench(scenario)
 
@@ -93,10 +93,10 @@
         await bench.apply(make_config())
         leaving = await bench.add_server("s0")
         leaving.pace_s = 0.02
-        stream = asyncio.ensure_future(bench.ask("/stream/1"))
+        stream = asyncio.ensure_future(bench.send_request("/stream/1"))
         await leaving.reached.wait()
         leaving.says = [LEAVING]
-        await bench.ask("/read/0")
+        await bench.send_request("/read/0")
         answer = await stream
         assert answer.is_whole and answer.body == whole_stream()
         assert len(leaving.seen) == 2
@@ -110,7 +110,7 @@
         await bench.apply(make_config())
         server = await bench.add_server("s0")
         server.says = [(b"server-leaving", value)]
-        await bench.ask("/read/0")
+        await bench.send_request("/read/0")
         assert await _count_received(bench) == REQUESTS
 
     run_bench(scenario)
@@ -121,7 +121,7 @@
     async def scenario(bench: GatewayBench) -> None:
         await _add_leaving_upstream(bench, "/read/0", way)
         bench.servers["s0"].says = []
-        await bench.until(lambda: bench.gateway.state.upstreams.of_service("desk") != [])
+        await bench.wait_until(lambda: bench.gateway.state.upstreams.of_service("desk") != [])
         (upstream,) = bench.gateway.state.upstreams
         assert upstream.takes_requests(asyncio.get_running_loop().time())
 
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -51,7 +51,7 @@
     server = LimitedServer(limit)
     bench.servers["s0"] = server
     bench.list_server("s0", await listen(server.handle))
-    await bench.until(lambda: bench.gateway.state.upstreams.find("s0") is not None)
+    await bench.wait_until(lambda: bench.gateway.state.upstreams.find("s0") is not None)
     return server
 
 
@@ -60,12 +60,12 @@
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         limited = await _add_limited(bench, limit)
-        await bench.ask("/read/0")
+        await bench.send_request("/read/0")
         await bench.add_server("s1")
         loop = asyncio.get_running_loop()
         until_s = loop.time() + 2.0
         while loop.time() < until_s:
-            assert (await bench.ask("/read/1")).status == 200
+            assert (await bench.send_request("/read/1")).status == 200
         assert count_most(limited.list_counted()) <= count_allowed(float(limit))
 
     run_bench(scenario)
@@ -83,8 +83,8 @@
         limited = await _add_limited(bench, "1.0")
         await bench.add_server("s1")
         for gateway in gateways:
-            await bench.until(lambda g=gateway: len(list(g.state.upstreams)) == 2)  # type: ignore[misc]
-            await bench.until(lambda g=gateway: g.state.table is not None)  # type: ignore[misc]
+            await bench.wait_until(lambda g=gateway: len(list(g.state.upstreams)) == 2)  # type: ignore[misc]
+            await bench.wait_until(lambda g=gateway: g.state.table is not None)  # type: ignore[misc]
         loop = asyncio.get_running_loop()
         until_s = loop.time() + 2.5
         number = 0
@@ -109,15 +109,15 @@
         await bench.apply(make_config())
         limited = await _add_limited(bench, "50")
         (upstream,) = bench.gateway.state.upstreams
-        await bench.ask("/open/1")
+        await bench.send_request("/open/1")
         assert upstream.reported_state.limit_per_s == 50.0
         limited.ways = [way]
         while limited.ways:
             # Tokens accrue over time.
-            await bench.ask("/open/1")
+            await bench.send_request("/open/1")
         assert upstream.reported_state.limit_per_s == 50.0
         limited.ways, limited.says = [], []
-        while (await bench.ask("/open/1")).status != 200:
+        while (await bench.send_request("/open/1")).status != 200:
             await asyncio.sleep(0.01)
         assert upstream.reported_state.limit_per_s is None
 
--- a/tests/test_upstream_rests.py
+++ b/tests/test_upstream_rests.py
@@ -21,11 +21,11 @@
     HOST,
     Answer,
     GatewayBench,
-    lapse_and_return,
+    delete_and_rewrite_entry,
     make_config,
-    replaced,
+    override_attribute,
+    rewrite_entry,
     run_bench,
-    say_ready_again,
 )
 
 REST_S = 50
@@ -37,14 +37,14 @@
     await bench.apply(make_config())
     backing_off = await bench.add_server("s0", Way.REFUSE)
     backing_off.says = [(b"retry-after", value.encode())]
-    answer = await bench.ask("/read/0")
+    answer = await bench.send_request("/read/0")
     for number in range(others):
         await bench.add_server(f"s{number + 1}")
     return answer
 
 
 async def _ask_repeatedly(bench: GatewayBench, path: str = "/read/1") -> list[Answer]:
-    return [await bench.ask(path) for _ in range(REQUESTS)]
+    return [await bench.send_request(path) for _ in range(REQUESTS)]
 
 
 def test_an_upstream_in_backoff_gets_no_requests_while_others_serve() -> None:
@@ -76,15 +76,15 @@
         await _add_upstreams(bench, 0, value="0.2")
         (backing_off,) = bench.gateway.state.upstreams
         now_s = asyncio.get_running_loop().time
-        await bench.until(lambda: not backing_off.backoff_left_s(now_s()))
-        assert (await bench.ask("/read/1")).status == 200
+        await bench.wait_until(lambda: not backing_off.backoff_left_s(now_s()))
+        assert (await bench.send_request("/read/1")).status == 200
 
     run_bench(scenario)
 
 
 def test_a_backoff_is_kept_when_the_list_changes() -> None:
     """Guards against list updates that reset a backoff, which the list does not contain."""
-    for update_list in (say_ready_again, lapse_and_return):
+    for update_list in (rewrite_entry, delete_and_rewrite_entry):
 
         async def scenario(
             bench: GatewayBench,
@@ -102,8 +102,8 @@
     async def scenario(bench: GatewayBench) -> None:
         await _add_upstreams(bench, 0)
         bench.list_server("s0", str(bench.read_entry("s0")["address"]), born=7)
-        await bench.until(lambda: bench.listed("s0").started_at_ms == 7)
-        assert (await bench.ask("/read/1")).status == 200
+        await bench.wait_until(lambda: bench.listed("s0").started_at_ms == 7)
+        assert (await bench.send_request("/read/1")).status == 200
 
     run_bench(scenario)
 
@@ -116,7 +116,7 @@
         await bench.apply(make_config(2, routes=[patient]))
         busy = await bench.add_server("s1", slots=1)
         bench.gateway.state.upstreams.adjust_others("s1", 1)
-        assert (await bench.ask("/read/2", left_ms=60_000)).status == 200
+        assert (await bench.send_request("/read/2", deadline_ms=60_000)).status == 200
         assert busy.seen == []
 
     run_bench(scenario)
@@ -127,8 +127,8 @@
         await bench.apply(make_config())
         backing_off = await bench.add_server("s0", Way.REFUSE)
         backing_off.says = [(b"retry-after", b"0"), (b"retry-after", b"50"), (b"retry-after", b"x")]
-        await bench.ask("/read/0")
-        assert (await bench.ask("/read/1")).status == 503
+        await bench.send_request("/read/0")
+        assert (await bench.send_request("/read/1")).status == 503
         assert len(backing_off.seen) == 1
 
     run_bench(scenario)
@@ -138,7 +138,7 @@
 def test_an_invalid_backoff_is_ignored(value: str) -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _add_upstreams(bench, 0, value=value)
-        assert (await bench.ask("/read/1")).status == 200
+        assert (await bench.send_request("/read/1")).status == 200
 
     run_bench(scenario)
 
@@ -151,7 +151,7 @@
         await bench.apply(make_config())
         server = await bench.add_server("s0", way)
         server.says = [(b"retry-after", b"50")]
-        await bench.ask("/read/0")
+        await bench.send_request("/read/0")
         (upstream,) = bench.gateway.state.upstreams
         assert upstream.backoff_left_s(asyncio.get_running_loop().time()) == 0.0
 
@@ -169,7 +169,10 @@
         assert len(refusing.seen) == 1
         assert len(serving.seen) == REQUESTS
 
-    with replaced(upstream, "MIN_EJECTION_S", 60.0), replaced(upstream, "MAX_EJECTION_S", 60.0):
+    with (
+        override_attribute(upstream, "MIN_EJECTION_S", 60.0),
+        override_attribute(upstream, "MAX_EJECTION_S", 60.0),
+    ):
         run_bench(scenario)
 
 
@@ -179,8 +182,8 @@
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         refusing = await bench.add_server("s0", Way.REFUSE)
-        assert (await bench.ask("/read/0")).status == 503
-        assert (await bench.ask("/read/1")).status == 200
+        assert (await bench.send_request("/read/0")).status == 503
+        assert (await bench.send_request("/read/1")).status == 200
         assert len(refusing.seen) == 2
 
     run_bench(scenario)
