--- a/tests/test_config_in_time.py
+++ b/tests/test_config_in_time.py
@@ -1,8 +1,8 @@
 """Test how long a confirmed configuration can take to come into force at a gateway.
 
-Guards against a gateway that applies a configuration replaced 3.6 s before. After the gateway had
-been cut off for 4 s, the store answered its calls for 17 s, but no answer was read to its end: a
-call was limited to 0.4 s in total, and the answer, which held every configuration since the cut,
+Guards against a gateway that refuses requests under a configuration replaced 3.6 s before. After
+the gateway had been cut off for 4 s, the store answered its calls for 17 s, but no answer was read to its end:
+a call was limited to 0.4 s in total, and the answer, which held every configuration since the cut,
 took longer on the VM's link. Partial answers were discarded and requested again while more was
 written, until the store had dropped its history. The received bytes and the number of answers that
 the store counted showed the cause.
