--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measure dalehollow against baselines, each in one run; machines are noisy, so quote ratios."""
+"""Measure dalehollow against baselines in the same run; quote ratios, as machines are noisy."""
--- a/benchmarks/amplification.py
+++ b/benchmarks/amplification.py
@@ -1,6 +1,6 @@
-"""Count tries for each request when half of the upstreams fail after taking the request.
+"""Count attempts per request when half or all of the upstreams fail after accepting requests.
 
-The decision parts are the product's own; only the call itself is replaced by one that fails.
+Uses the production retry budget; only calls to upstreams are simulated.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 
 
 def run() -> None:
-    """Compare no budget with the account's budget, at two shares of failing upstreams."""
+    """Compare runs without and with a retry budget, for two numbers of failing upstreams."""
     for failing in (UPSTREAMS // 2, UPSTREAMS):
-        without = _count_tries(None, failing)
-        with_budget = _count_tries(RetryBudget(), failing)
+        without_budget = _simulate(None, failing)
+        with_budget = _simulate(RetryBudget(), failing)
         print_pairs(
             failing_share=failing / UPSTREAMS,
-            tries_without=without[0],
+            tries_without=without_budget[0],
             tries_with=with_budget[0],
-            answered_without=without[1],
+            answered_without=without_budget[1],
             answered_with=with_budget[1],
-            extra_load_ratio=(with_budget[0] - 1) / (without[0] - 1),
+            extra_load_ratio=(with_budget[0] - 1) / (without_budget[0] - 1),
         )
 
 
-def _count_tries(budget: RetryBudget | None, failing: int) -> tuple[float, float]:
-    """Return the tries for each request and the share that was answered."""
+def _simulate(budget: RetryBudget | None, failing: int) -> tuple[float, float]:
+    """Return the mean attempts per request and the share of requests that succeeded."""
     rng = random.Random(7)
-    tries = answered = 0
+    attempts = answered = 0
     for _ in range(REQUESTS):
         if budget is not None:
             budget.record_first_try()
@@ -41,8 +41,8 @@
         for attempt, upstream in enumerate(order):
             if attempt and budget is not None and not budget.take_retry():
                 break
-            tries += 1
+            attempts += 1
             if upstream >= failing:
                 answered += 1
                 break
-    return tries / REQUESTS, answered / REQUESTS
+    return attempts / REQUESTS, answered / REQUESTS
--- a/benchmarks/burst.py
+++ b/benchmarks/burst.py
@@ -1,8 +1,8 @@
-"""Send a burst of ten times capacity through no gate, entry gates and the sidecar's gate.
+"""Send a burst of ten times capacity through no gate, a gate per entry and the sidecar's gate.
 
-The gate in each entry, its bounded queue and its deadline over all waiting follow the idea of
-the related paper (a concurrency gate for each process); what is measured is that such a gate
-bounds each process, not the upstream that the processes share.
+The gate per entry, with its bounded queue and a deadline that covers all waiting, follows the
+related paper's concurrency gate per process. Such a gate limits the concurrency of each process but
+not of the upstream that the processes share, which is what this benchmark measures.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from result import Err
 
-from benchmarks.load import Sample, Samples, engine_stats, run_threads, send_chat
+from benchmarks.load import Sample, Samples, read_engine_stats, run_threads, send_chat
 from benchmarks.report import percentile, print_pairs
 from dalehollow.clock import read_clock
 from dalehollow.limits import Gate, GateLimits
@@ -25,11 +25,11 @@
 DEADLINE_MS = 1_000
 QUEUE_LIMIT = 40
 
-Send = Callable[[int], Sample]
+SendRequest = Callable[[int], Sample]
 
 
 def run() -> None:
-    """Compare the three with 2 and 8 entries."""
+    """Compare the three placements with 2 and 8 entries."""
     capacity = SLOTS * DEADLINE_MS / (TOKENS * STEP_MS)
     requests = round(10 * capacity)
     print_pairs(capacity_in_deadline=capacity, requests=requests)
@@ -62,7 +62,7 @@
         if isinstance(gate.acquire("normal", began_s + DEADLINE_MS / 1000), Err):
             return Sample(503, 0.0, (read_clock() - began_s) * 1000, 0, True)
         sample = send_direct(idx)
-        gate.release(sample.whole_ms)
+        gate.release(sample.total_ms)
         waited_ms = (read_clock() - began_s) * 1000
         return Sample(sample.status, sample.first_ms, waited_ms, sample.tokens, False)
 
@@ -70,21 +70,25 @@
         entry = hall.entries[idx % entries]
         return send_chat(http, entry.http, f"{idx}", tokens=TOKENS, deadline_ms=DEADLINE_MS)
 
-    sends: dict[str, Send] = {"none": send_direct, "entry": send_gated, "sidecar": send_through}
-    # Teach the gates how long a request takes, as they would know at any time but the first.
+    senders: dict[str, SendRequest] = {
+        "none": send_direct,
+        "entry": send_gated,
+        "sidecar": send_through,
+    }
+    # Warm up the service-time estimates of the gates, which are unset only after a start.
     for idx in range(2 * entries):
-        sends[name](idx)
+        senders[name](idx)
     samples = Samples()
     began_s = read_clock()
-    run_threads(requests, lambda idx: samples.add(sends[name](idx)))
+    run_threads(requests, lambda idx: samples.add(senders[name](idx)))
     took_s = read_clock() - began_s
-    _report(name, entries, samples, took_s, engine_stats(hall.engines)[0], capacity)
+    _report(name, entries, samples, took_s, read_engine_stats(hall.engines)[0], capacity)
 
 
 def _report(
     name: str, entries: int, samples: Samples, took_s: float, stats: dict[str, int], capacity: float
 ) -> None:
-    in_time = [s for s in samples.answered() if s.whole_ms <= DEADLINE_MS * 1.1]
+    in_time = [s for s in samples.answered() if s.total_ms <= DEADLINE_MS * 1.1]
     refused = [s for s in samples.all if s.status in (503, 429)]
     late = len(samples.all) - len(in_time) - len(refused)
     print_pairs(
@@ -93,7 +97,7 @@
         answered_in_time=len(in_time),
         refused=len(refused),
         late_or_timed_out=late,
-        refused_p99_ms=percentile([s.whole_ms for s in refused], 0.99),
+        refused_p99_ms=percentile([s.total_ms for s in refused], 0.99),
         refused_with_retry_after=sum(s.retry_after for s in refused),
         worst_in_flight=stats["worst_in_flight"],
         took_s=took_s,
--- a/benchmarks/child.py
+++ b/benchmarks/child.py
@@ -1,4 +1,4 @@
-"""Build one state of a given size in a fresh process and print its memory and processor time."""
+"""Build one data structure of a given size in a new process and print its memory and CPU time."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 from dalehollow.protocol.link import ControlServer, PeerLink
 from dalehollow.protocol.messages import encode
 
-_BEATS_PER_LINK = 10
-_taken_s: list[float] = []
+_HEARTBEATS_PER_LINK = 10
+_activation_cpu_s: list[float] = []
 
 
 def make_text(accounts: int, upstreams: int) -> str:
-    """Return an operators' file of a given size."""
+    """Return an operators' configuration file with the given number of accounts and upstreams."""
     names = [f"up-{i}" for i in range(upstreams)]
     config = {
         "deployment": "large",
@@ -62,18 +62,18 @@
     return json.dumps(config)
 
 
-def _hold_config(accounts: int, upstreams: int) -> object:
+def _build_config_holder(accounts: int, upstreams: int) -> object:
     holder = ConfigHolder()
     text = make_text(accounts, upstreams)
     raw = msgspec.json.decode(text)
     began_s = time.process_time()
-    offer_raw(holder, raw)
-    _taken_s.append(time.process_time() - began_s)
+    activate_config(holder, raw)
+    _activation_cpu_s.append(time.process_time() - began_s)
     return holder
 
 
-def offer_raw(holder: ConfigHolder, raw: dict[str, Any]) -> None:
-    """Offer a configuration as a peer sends it: in parts."""
+def activate_config(holder: ConfigHolder, raw: dict[str, Any]) -> None:
+    """Activate a configuration in parts, as a peer sends it."""
     cfg = Config(
         deployment=raw["deployment"],
         clock_bound_ms=2_000,
@@ -109,25 +109,25 @@
     )
 
 
-def _accounts(size: int) -> object:
-    return _hold_config(size, 20)
+def _build_accounts(size: int) -> object:
+    return _build_config_holder(size, 20)
 
 
-def _upstreams(size: int) -> object:
-    holder = _hold_config(10, size)
+def _build_upstreams(size: int) -> object:
+    holder = _build_config_holder(10, size)
     pool = Pool("entry-0", "hall-0", read_clock, subset_size=8, peer_limit=30)
     pool.apply(holder.active)  # type: ignore[attr-defined]
     return holder, pool
 
 
-def _account_state(size: int) -> object:
+def _build_account_state(size: int) -> object:
     buckets = {str(i): (TokenBucket(1, 1), RetryBudget()) for i in range(size)}
     for bucket, _ in buckets.values():
         bucket.take(1.0)
     return buckets
 
 
-def _keys(size: int) -> object:
+def _build_key_table(size: int) -> object:
     table = KeyTable(KeyTableLimits(size, 2**30, 600_000, 2_000), NEVER_MS)
     answer = KeptAnswer(200, {"content-type": "application/json"}, b"x" * 200)
     for i in range(size):
@@ -137,47 +137,49 @@
     return table
 
 
-def _layers(size: int) -> object:
+def _plan_layers(size: int) -> object:
     demand = [[float((7 * e + layer) % 97 + 1) for e in range(256)] for layer in range(size)]
-    turned = [[float((11 * e + layer) % 89 + 1) for e in range(256)] for layer in range(size)]
+    shifted_demand = [
+        [float((11 * e + layer) % 89 + 1) for e in range(256)] for layer in range(size)
+    ]
     current = ExpertMap(tuple(make_layer(d, 64, 5) for d in demand))
-    return plan_map(current, turned, POLICIES["skew"], max_moves=1_000)
+    return plan_map(current, shifted_demand, POLICIES["skew"], max_moves=1_000)
 
 
-def _peers(size: int) -> object:
-    """Exchange `_BEATS_PER_LINK` beats with each of `size` peers; both sides run here."""
+def _connect_peers(size: int) -> object:
+    """Exchange heartbeats with `size` peers; both ends run in this process."""
     reply = HeartbeatReply("sidecar-name-1", 1, 7, 1_700_000_000_000, 3, 4, 8, 812.5, False)
     server = ControlServer("127.0.0.1", 0, lambda request: reply)
     server.start()
-    beat = Heartbeat("entry-name-12", "10.0.0.1:8001", 7, 1_700_000_000_000)
+    heartbeat = Heartbeat("entry-name-12", "10.0.0.1:8001", 7, 1_700_000_000_000)
     links = [PeerLink(server.address) for _ in range(size)]
-    for _ in range(_BEATS_PER_LINK):
+    for _ in range(_HEARTBEATS_PER_LINK):
         for link in links:
-            link.ask(beat, timeout_ms=1_000)
+            link.ask(heartbeat, timeout_ms=1_000)
     return server, links
 
 
 KINDS: dict[str, Callable[[int], object]] = {
-    "accounts": _accounts,
-    "account_state": _account_state,
-    "upstreams": _upstreams,
-    "keys": _keys,
-    "layers": _layers,
-    "peers": _peers,
+    "accounts": _build_accounts,
+    "account_state": _build_account_state,
+    "upstreams": _build_upstreams,
+    "keys": _build_key_table,
+    "layers": _plan_layers,
+    "peers": _connect_peers,
 }
 
 
 def message_bytes() -> dict[str, int]:
-    """Return the encoded sizes of the messages that are sent all the time."""
-    beat = Heartbeat("entry-name-12", "10.0.0.1:8001", 1_234, 1_700_000_000_000)
+    """Return the encoded sizes of the periodic messages in bytes."""
+    heartbeat = Heartbeat("entry-name-12", "10.0.0.1:8001", 1_234, 1_700_000_000_000)
     reply = HeartbeatReply(
         "sidecar-name-1", 1_700_000_000_000, 1_234, 1_700_000_000_000, 3, 4, 8, 812.5, False
     )
-    return {"beat": len(encode(beat)), "beat_reply": len(encode(reply))}
+    return {"beat": len(encode(heartbeat)), "beat_reply": len(encode(reply))}
 
 
 def config_bytes() -> dict[str, int]:
-    """Return what a full-size configuration puts on the wire, with 19 earlier versions listed."""
+    """Return encoded sizes of a full-size configuration with 19 past versions, in bytes."""
     text = make_text(accounts=4_400, upstreams=1_000)
     prepared = _prepare_apply(EMPTY_MANIFEST, check_text(text).unwrap(), text, "a" * 32, 1)
     past = tuple(PastVersion(i, "a" * 32, 1_700_000_000_000) for i in range(19))
@@ -195,18 +197,18 @@
 
 
 def main() -> None:
-    """Print what one state costs beyond the process without it."""
+    """Print the memory and CPU time that one data structure adds to the process."""
     kind, size = sys.argv[1], int(sys.argv[2])
-    # Libraries and allocator are warmed by a small one, so that the slope is the state's own.
+    # Warm up libraries and the allocator, so that their one-time cost is not measured.
     KINDS[kind](1)
     gc.collect()
     before_kib, before_s = _rss_kib(), time.process_time()
-    kept = KINDS[kind](size)
-    took_s = _taken_s[-1] if _taken_s else time.process_time() - before_s
+    state = KINDS[kind](size)
+    took_s = _activation_cpu_s[-1] if _activation_cpu_s else time.process_time() - before_s
     gc.collect()
     print(json.dumps({"kib": _rss_kib() - before_kib, "cpu_ms": took_s * 1000}))
     sys.stdout.flush()
-    del kept
+    del state
 
 
 def _rss_kib() -> int:
--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -1,7 +1,7 @@
-"""Compare ways to choose an upstream, with stale reports and one slow upstream.
+"""Compare upstream selection policies with stale load reports and one slow upstream.
 
-A queue model of the decision alone: each upstream serves `SLOTS` requests at a time; entries see
-loads as they were 500 ms ago. The product's `choose` is used as it is.
+A queueing simulation in which each upstream serves `SLOTS` requests at a time and entries see load
+reports that are `REPORT_DELAY_MS` old. The policy `ours` is the production function `choose`.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 SLOTS = 8
 SERVICE_MS = 200.0
 SLOWDOWN = 3.0
-STALE_MS = 500.0
+REPORT_DELAY_MS = 500.0
 ENTRIES = 2
-LOAD = 0.8
+OFFERED_LOAD = 0.8
 REQUESTS = 60_000
 
-Pick = Callable[["_Entry", list["_Upstream"], random.Random], int]
+SelectUpstream = Callable[["_Entry", list["_Upstream"], random.Random], int]
 
 
 @dataclass
@@ -43,15 +43,15 @@
 
 
 def run() -> None:
-    """Print p99 of the time to the first token for each way, and the ratios."""
-    ways: dict[str, Pick] = {
-        "random": _pick_random,
-        "least_reported": _pick_least_reported,
-        "ours": _pick_ours,
+    """Print the queueing time of each policy, and ratios of the 99th percentiles."""
+    policies: dict[str, SelectUpstream] = {
+        "random": _select_random,
+        "least_reported": _select_least_reported,
+        "ours": _select_ours,
     }
     p99 = {}
-    for name, pick in ways.items():
-        waits = _simulate(pick)
+    for name, select in policies.items():
+        waits = _simulate(select)
         p99[name] = percentile(waits, 0.99)
         print_pairs(way=name, wait_p50_ms=percentile(waits, 0.5), wait_p99_ms=p99[name])
     print_pairs(
@@ -60,16 +60,16 @@
     )
 
 
-def _pick_random(entry: _Entry, upstreams: list[_Upstream], rng: random.Random) -> int:
+def _select_random(entry: _Entry, upstreams: list[_Upstream], rng: random.Random) -> int:
     return rng.randrange(len(upstreams))
 
 
-def _pick_least_reported(entry: _Entry, upstreams: list[_Upstream], rng: random.Random) -> int:
+def _select_least_reported(entry: _Entry, upstreams: list[_Upstream], rng: random.Random) -> int:
     loads = [(r.running + r.waiting, rng.random(), i) for i, r in enumerate(entry.reports)]
     return min(loads)[2]
 
 
-def _pick_ours(entry: _Entry, upstreams: list[_Upstream], rng: random.Random) -> int:
+def _select_ours(entry: _Entry, upstreams: list[_Upstream], rng: random.Random) -> int:
     candidates = [
         Candidate(str(i), report, len(entry.sent_at_ms[i]), 0.2)
         for i, report in enumerate(entry.reports)
@@ -77,7 +77,7 @@
     return int(choose(candidates, rng).name)
 
 
-def _simulate(pick: Pick) -> list[float]:
+def _simulate(select: SelectUpstream) -> list[float]:
     rng = random.Random(11)
     upstreams = [_Upstream(i, SERVICE_MS * (SLOWDOWN if i == 0 else 1)) for i in range(UPSTREAMS)]
     capacity_per_ms = sum(SLOTS / u.service_ms for u in upstreams)
@@ -91,13 +91,13 @@
     ]
     waits: list[float] = []
     events: list[tuple[float, int, str, int]] = [(0.0, 0, "arrive", 0), (0.0, 1, "report", 0)]
-    number = 2
+    next_event_number = 2
     arrived = 0
 
     def push(at_ms: float, kind: str, value: int) -> None:
-        nonlocal number
-        heapq.heappush(events, (at_ms, number, kind, value))
-        number += 1
+        nonlocal next_event_number
+        heapq.heappush(events, (at_ms, next_event_number, kind, value))
+        next_event_number += 1
 
     history: deque[tuple[float, list[LoadReport]]] = deque()
     while events and arrived < REQUESTS:
@@ -105,7 +105,7 @@
         if kind == "arrive":
             arrived += 1
             entry = entries[rng.randrange(ENTRIES)]
-            chosen = pick(entry, upstreams, rng)
+            chosen = select(entry, upstreams, rng)
             entry.sent_at_ms[chosen].append(now_ms)
             upstream = upstreams[chosen]
             if upstream.running < SLOTS:
@@ -114,7 +114,7 @@
                 push(now_ms + rng.expovariate(1 / upstream.service_ms), "finish", chosen)
             else:
                 upstream.waiting.append(now_ms)
-            push(now_ms + rng.expovariate(LOAD * capacity_per_ms), "arrive", 0)
+            push(now_ms + rng.expovariate(OFFERED_LOAD * capacity_per_ms), "arrive", 0)
         elif kind == "finish":
             upstream = upstreams[value]
             if upstream.waiting:
@@ -125,7 +125,7 @@
         else:
             loads = [LoadReport(u.running, len(u.waiting), SLOTS, u.service_ms) for u in upstreams]
             history.append((now_ms, loads))
-            while history and history[0][0] <= now_ms - STALE_MS:
+            while history and history[0][0] <= now_ms - REPORT_DELAY_MS:
                 taken_at_ms, reports = history.popleft()
                 for entry in entries:
                     entry.reports = reports
--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -1,4 +1,4 @@
-"""Print the resident memory of idle processes beside a bare interpreter with the same libraries."""
+"""Print the resident memory of idle processes and of an interpreter with the same libraries."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def run() -> None:
-    """Measure a bare interpreter, and an entry and a sidecar idle, small and at full size."""
+    """Measure an interpreter, and an idle entry and sidecar without and with a configuration."""
     done = subprocess.run([sys.executable, "-c", _BARE], capture_output=True, text=True, check=True)
     bare_kib = int(done.stdout) * _PAGE_KIB
     print_pairs(process="bare", rss_kib=bare_kib)
--- a/benchmarks/lateness.py
+++ b/benchmarks/lateness.py
@@ -1,6 +1,7 @@
-"""Measure how late a gateway can learn what the store has confirmed, on virtual time.
+"""Measure the propagation delay of confirmed store changes to gateways, on virtual time.
 
-Prints the longest lag of each chain of failures, worst first, and what random schedules miss.
+Prints the longest delays of each chain of failures in descending order, and the seeds of random
+schedules that exceed the bound.
 """
 
 from __future__ import annotations
@@ -17,10 +18,10 @@
 
 
 def run() -> None:
-    """Print the lag of each chain and the schedules that miss the bound."""
+    """Print the delays of each chain and the schedules that exceed the bound."""
     logging.disable(logging.CRITICAL)
     with pytest.MonkeyPatch.context() as patch:
-        rows = [(_play_phases(chain, patch), chain.describe()) for chain in CHAINS]
+        rows = [(_measure_chain(chain, patch), chain.describe()) for chain in CHAINS]
         for (config_s, leaving_s, gone_s), chain in sorted(rows, reverse=True):
             print_pairs(config_s=config_s, leaving_s=leaving_s, gone_s=gone_s, chain=chain)
         missed = [s for s in range(1, SEEDS + 1) if play_schedule(s, BOUND_S, patch)]
@@ -32,8 +33,8 @@
     )
 
 
-def _play_phases(chain: Chain, patch: pytest.MonkeyPatch) -> tuple[float, float, float]:
-    """Return the longest lags of a configuration, of a leaving and of a lost upstream."""
+def _measure_chain(chain: Chain, patch: pytest.MonkeyPatch) -> tuple[float, float, float]:
+    """Return the longest delays of configurations, of departures and of lost upstreams in s."""
     lags = [play_chain(chain, phase_s, patch) for phase_s in PHASES_S]
     return (
         max(lag.config_s for lag in lags),
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,4 @@
-"""Send streaming requests to entries and time them."""
+"""Send streaming requests and measure their latency."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """Hold what one request came to; times in milliseconds from its sending."""
+    """Hold the result of one request; times are milliseconds since it was sent."""
 
     status: int
     first_ms: float
-    whole_ms: float
+    total_ms: float
     tokens: int
     retry_after: bool
     gaps_ms: tuple[float, ...] = ()
@@ -41,7 +41,7 @@
             self.all.append(sample)
 
     def answered(self) -> list[Sample]:
-        """Return those answered with status 200."""
+        """Return the samples with status 200."""
         return [s for s in self.all if s.status == 200]
 
 
@@ -54,7 +54,7 @@
     tokens: int,
     deadline_ms: int = 30_000,
 ) -> Sample:
-    """Send one streaming chat request and read it to its end."""
+    """Send one streaming chat request and read the response to its end."""
     headers = {
         "authorization": f"Bearer {ACCOUNT_KEYS['colombo-city']}",
         "dalehollow-priority": priority,
@@ -95,7 +95,7 @@
     return Sample(
         status=answer.status,  # type: ignore[attr-defined]
         first_ms=((times_s[0] if times_s else ended_s) - began_s) * 1000,
-        whole_ms=(ended_s - began_s) * 1000,
+        total_ms=(ended_s - began_s) * 1000,
         tokens=count,
         retry_after="retry-after" in answer.headers,  # type: ignore[attr-defined]
         gaps_ms=gaps,
@@ -103,7 +103,7 @@
 
 
 def run_threads(count: int, work: Callable[[int], None]) -> None:
-    """Run `work` with each index on a thread of its own and wait for all."""
+    """Run `work` with each index in its own thread and wait for all threads."""
     threads = [threading.Thread(target=work, args=(idx,)) for idx in range(count)]
     for thread in threads:
         thread.start()
@@ -111,8 +111,8 @@
         thread.join()
 
 
-def engine_stats(engines: list[Running]) -> list[dict[str, int]]:
-    """Return the engines' own counts."""
+def read_engine_stats(engines: list[Running]) -> list[dict[str, int]]:
+    """Return the statistics that the engines report."""
     client = HttpClient(connect_timeout_s=1)
     return [
         json.loads(client.call("GET", e.http, "/stats", timeout_s=5).unwrap().read())
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,4 +1,4 @@
-"""Measure one entry's token relay: rate, processor time for each token and added latency."""
+"""Measure the token relay of one entry: rate, CPU time per token and added latency."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def run() -> None:
-    """Stream from all engines directly, then through the entry, at the same load."""
+    """Stream from the engines directly, then through the entry, at the same load."""
     with Launcher() as launcher:
         hall = start_hall(
             launcher,
@@ -31,11 +31,11 @@
             step_ms=STEP_MS,
         )
         direct = _stream([e.http for e in hall.engines])
-        before_s = _cpu_s(hall.entries[0])
+        before_s = _read_cpu_s(hall.entries[0])
         began_s = read_clock()
         through = _stream([hall.entries[0].http])
         took_s = read_clock() - began_s
-        used_s = _cpu_s(hall.entries[0]) - before_s
+        used_s = _read_cpu_s(hall.entries[0]) - before_s
         _report(hall, direct, through, took_s, used_s)
 
 
@@ -45,7 +45,7 @@
         name: [g for s in samples.answered() for g in s.gaps_ms]
         for name, samples in [("direct", direct), ("through", through)]
     }
-    firsts = {
+    first_token_ms = {
         name: [s.first_ms for s in samples.answered()]
         for name, samples in [("direct", direct), ("through", through)]
     }
@@ -55,8 +55,8 @@
             gap_p50_ms=percentile(gaps[name], 0.5),
             gap_p95_ms=percentile(gaps[name], 0.95),
             gap_p99_ms=percentile(gaps[name], 0.99),
-            first_p50_ms=percentile(firsts[name], 0.5),
-            first_p99_ms=percentile(firsts[name], 0.99),
+            first_p50_ms=percentile(first_token_ms[name], 0.5),
+            first_p99_ms=percentile(first_token_ms[name], 0.99),
         )
     print_pairs(
         streams=STREAMS,
@@ -83,7 +83,7 @@
     return samples
 
 
-def _cpu_s(process: Running) -> float:
-    """Return the processor time that a process has used."""
+def _read_cpu_s(process: Running) -> float:
+    """Return the CPU time used by a process in s."""
     fields = Path(f"/proc/{process.popen.pid}/stat").read_text().rsplit(") ", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""Print figures and take percentiles."""
+"""Print results and compute percentiles."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Return the value below which a share of the values lie; NaN where there are none."""
+    """Return the nearest-rank percentile for a share from 0 to 1, or NaN without values."""
     if not values:
         return math.nan
     ranked = sorted(values)
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,7 +1,7 @@
-"""Measure account limits: what a large account costs the small ones, and the sum of shares.
+"""Measure account limits: the effect of a large account on small ones, and the sum of shares.
 
-The first part runs a hall of processes; the second runs the decision alone with 2, 8 and 360
-entries, demand that wanders and entries that are cut off.
+The first part runs the processes of a hall. The second simulates share allocation with 2, 8 and 360
+entries, shifting demand and isolated entries.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from dalehollow.protocol import ShareGrant, ShareRequest
 from dalehollow.web import HttpClient
 from standins.hall import ACCOUNT_KEYS, apply_config, make_config, start_hall
-from standins.hall import Hall as HallOfProcesses
+from standins.hall import Hall as HallProcesses
 from standins.processes import Launcher
 
 LARGE, *SMALL = sorted(ACCOUNT_KEYS)
@@ -35,7 +35,7 @@
 
 
 def run() -> None:
-    """Print both parts."""
+    """Run both parts."""
     with Launcher() as launcher:
         hall = start_hall(launcher, engines=0, plain=("gate-1", "gate-2"))
         config = make_config(hall)
@@ -44,18 +44,18 @@
             limit = LARGE_LIMIT_PER_S if name == LARGE else SMALL_LIMIT_PER_S
             account["requests_per_s"] = account["burst"] = limit
         apply_config(hall, config)
-        alone = _measure(hall, large_gap_s=None)
-        beside = _measure(hall, large_gap_s=1 / (10 * LARGE_LIMIT_PER_S))
+        without_large = _measure(hall, large_gap_s=None)
+        with_large = _measure(hall, large_gap_s=1 / (10 * LARGE_LIMIT_PER_S))
     print_pairs(
-        small_p50_ratio=percentile(beside[0], 0.5) / percentile(alone[0], 0.5),
-        small_p99_ratio=percentile(beside[0], 0.99) / percentile(alone[0], 0.99),
+        small_p50_ratio=percentile(with_large[0], 0.5) / percentile(without_large[0], 0.5),
+        small_p99_ratio=percentile(with_large[0], 0.99) / percentile(without_large[0], 0.99),
     )
     for entries, halls in ((2, 1), (8, 1), (360, 15)):
-        _model(entries, halls)
+        _simulate_allocation(entries, halls)
 
 
-def _measure(hall: HallOfProcesses, large_gap_s: float | None) -> tuple[list[float], int]:
-    """Return the small accounts' times in ms and how many of the large one's were answered."""
+def _measure(hall: HallProcesses, large_gap_s: float | None) -> tuple[list[float], int]:
+    """Return the latencies of the small accounts in ms and the responses to the large account."""
     times_ms: list[float] = []
     large_answered = [0]
     stopping = threading.Event()
@@ -104,18 +104,18 @@
     return times_ms, large_answered[0]
 
 
-def _model(entries: int, halls: int) -> None:
+def _simulate_allocation(entries: int, halls: int) -> None:
     rng = random.Random(5)
     keepers: dict[str, ShareKeeper] = {}
-    cut: set[str] = set()
+    isolated: set[str] = set()
 
-    def make_ask(sender: str) -> Callable[[str, ShareRequest], Result[ShareGrant, str]]:
-        def ask(address: str, message: ShareRequest) -> Result[ShareGrant, str]:
-            if sender in cut or address in cut:
-                return Err("cut")
+    def make_transport(sender: str) -> Callable[[str, ShareRequest], Result[ShareGrant, str]]:
+        def transmit(address: str, message: ShareRequest) -> Result[ShareGrant, str]:
+            if sender in isolated or address in isolated:
+                return Err("entry is isolated")
             return Ok(keepers[address].answer(message))
 
-        return ask
+        return transmit
 
     names = [f"e{i}" for i in range(entries)]
     vms = tuple(Vm(n, "live", f"h{i % halls}", n) for i, n in enumerate(names))
@@ -130,7 +130,7 @@
         {},
     )
     for idx, name in enumerate(names):
-        keeper = ShareKeeper(name, f"h{idx % halls}", make_ask(name), clock=lambda: 0.0)
+        keeper = ShareKeeper(name, f"h{idx % halls}", make_transport(name), clock=lambda: 0.0)
         keeper.take_list(vms)
         keeper.apply(cfg)
         keepers[name] = keeper
@@ -139,7 +139,7 @@
     for number in range(ROUNDS):
         if number % 20 == 0:
             busy = rng.choice(names)
-            cut = set(rng.sample(names, entries // 8))
+            isolated = set(rng.sample(names, entries // 8))
         for name, keeper in keepers.items():
             for _ in range(200 if name == busy else 0):
                 keeper.take("a")
--- a/benchmarks/skew.py
+++ b/benchmarks/skew.py
@@ -1,4 +1,4 @@
-"""Compare ways to follow drifting demand: step-time skew against moved weights."""
+"""Compare planning policies under drifting demand: step-time skew and moved weights."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 @dataclass
-class Run:
-    """Hold what one way came to over a trace."""
+class PolicyResult:
+    """Hold the results of one policy over a trace."""
 
     skews: list[float] = field(default_factory=list)
     moves: list[int] = field(default_factory=list)
 
 
-Way = Callable[[ExpertMap, DemandAverage], ExpertMap]
+Planner = Callable[[ExpertMap, DemandAverage], ExpertMap]
 
 
 def run() -> None:
-    """Print a line for each trace and way, then the ratios that the goals are about."""
+    """Print one line per trace and policy, then the ratios that the goals limit."""
     for trace in TRACES:
-        runs = {name: _follow(trace, way) for name, way in WAYS.items()}
+        runs = {name: _replay_trace(trace, plan) for name, plan in PLANNERS.items()}
         bound = _lower_bound(trace)
         for name, result in runs.items():
             print_pairs(
@@ -48,13 +48,13 @@
                 switches=sum(m > 0 for m in result.moves),
                 lost_steps=0,
             )
-        _print_goals(trace, runs, bound)
+        _print_ratios(trace, runs, bound)
         if "--plot" in sys.argv:
             _plot(trace, runs)
     _time_full_size()
 
 
-def _print_goals(trace: str, runs: dict[str, Run], bound: float) -> None:
+def _print_ratios(trace: str, runs: dict[str, PolicyResult], bound: float) -> None:
     full_moves = max(1, sum(runs["full"].moves))
     print_pairs(
         trace=trace,
@@ -66,7 +66,7 @@
     )
 
 
-def _keep(current: ExpertMap, average: DemandAverage) -> ExpertMap:
+def _keep_map(current: ExpertMap, average: DemandAverage) -> ExpertMap:
     return current
 
 
@@ -74,7 +74,7 @@
     return ExpertMap(tuple(make_layer(d, RANKS, SLOTS) for d in average.demand))
 
 
-def _plan_with(policy: str) -> Way:
+def _plan_with(policy: str) -> Planner:
     def plan(current: ExpertMap, average: DemandAverage) -> ExpertMap:
         return plan_map(
             current,
@@ -87,17 +87,17 @@
     return plan
 
 
-WAYS: dict[str, Way] = {
-    "static": _keep,
+PLANNERS: dict[str, Planner] = {
+    "static": _keep_map,
     "full": _plan_full,
     "calm": _plan_with("calm"),
     "skew": _plan_with("skew"),
 }
 
 
-def _follow(trace: str, way: Way) -> Run:
-    """Plan after each window on what was counted so far; the next window runs on the plan."""
-    result = Run()
+def _replay_trace(trace: str, plan: Planner) -> PolicyResult:
+    """Plan after each window from the demand counted so far, for use in the next window."""
+    result = PolicyResult()
     average = DemandAverage()
     current: ExpertMap | None = None
     for window, demand in enumerate(make_trace(trace, SHAPE)):
@@ -105,28 +105,28 @@
             result.skews.append(step_skew(current, demand))
         average.add(demand)
         if current is None:
-            # All ways begin with a map that is made for the demand of the warm-up.
+            # All policies start with a map planned for the demand of the warm-up.
             if window + 1 == SHAPE.warm_up:
                 current = _plan_full(ExpertMap(()), average)
             continue
-        planned = way(current, average)
+        planned = plan(current, average)
         result.moves.append(count_moves(current, planned))
         current = planned
     return result
 
 
 def _lower_bound(trace: str) -> float:
-    """Return the mean skew that no map with these slots can go below.
+    """Return a lower bound on the mean skew of any map with these slots.
 
-    An expert stands on at most as many ranks as there are spare slots and its own; its share on
-    one of them is a bound on the longest rank.
+    An expert has at most one replica in each spare slot besides its first, so the load that the
+    hottest expert puts on one rank bounds the load of the slowest rank.
     """
     bounds = []
     most_replicas = min(RANKS, RANKS * SLOTS - SHAPE.experts + 1)
     for demand in make_trace(trace, SHAPE):
-        longest = sum(max(sum(d) / RANKS, max(d) / most_replicas) for d in demand)
+        max_load = sum(max(sum(d) / RANKS, max(d) / most_replicas) for d in demand)
         mean = sum(sum(d) / RANKS for d in demand)
-        bounds.append(longest / mean - 1)
+        bounds.append(max_load / mean - 1)
     return _mean(bounds)
 
 
@@ -135,7 +135,7 @@
 
 
 def _time_full_size() -> None:
-    """Time one plan at the target's size: 64 ranks, 256 experts, 58 layers."""
+    """Measure the CPU time of one plan at full size: 64 ranks, 256 experts, 58 layers."""
     shape = Shape(layers=58, experts=256, tokens=1_000_000, windows=40)
     windows = make_trace("sudden_turn", shape)
     first = next(windows)
@@ -157,7 +157,7 @@
     )
 
 
-def _plot(trace: str, runs: dict[str, Run]) -> None:
+def _plot(trace: str, runs: dict[str, PolicyResult]) -> None:
     import matplotlib
 
     matplotlib.use("Agg")
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,7 +1,7 @@
-"""Model the spread of one change and the calls it costs, with 8 and 1,360 processes.
+"""Simulate the propagation of configuration changes and the reads it takes, by fleet size.
 
-The decisions are the product's own (`compute_poll_limit_ms`, `is_poll_due`); processes exchange
-beats over the entries' subsets every 500 ms, which is all that this model adds.
+Uses the production decisions `compute_poll_limit_ms`, `is_poll_due` and `choose_subset`. The model
+only adds a heartbeat exchange of each entry with the upstreams of its subset every 500 ms.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from dalehollow.membership import choose_subset
 
 TICK_MS = 50
-BEAT_MS = 500
+HEARTBEAT_MS = 500
 RUN_MS = 120_000
 CHANGE_EVERY_MS = 20_000
-SUBSET = 8
+SUBSET_SIZE = 8
 POLL_MIN_MS, POLL_MAX_MS = 1_000, 3_000
 
 
@@ -26,7 +26,7 @@
 class _Process:
     name: str
     limit_ms: int
-    beat_at_ms: int
+    heartbeat_at_ms: int
     peers: list[int] = field(default_factory=list)
     version: int = 0
     confirmed_ms: int = 0
@@ -34,7 +34,7 @@
 
 
 def run() -> None:
-    """Print calls a second and the time to everywhere for today's size and the target's."""
+    """Print the read rate and the time until all processes have a change, by fleet size."""
     for halls, entries, upstreams in ((3, 8, 0), (3, 8, 19), (15, 360, 1_000)):
         processes = _make_processes(halls, entries, upstreams)
         polls, delays = _simulate(processes)
@@ -50,16 +50,16 @@
 
 def _make_processes(halls: int, entries: int, upstreams: int) -> list[_Process]:
     rng = random.Random(3)
-    ups = [Upstream(f"u-{i}", f"h-{i % halls}", "", "x", 8) for i in range(upstreams)]
-    places = {u.name: entries + idx for idx, u in enumerate(ups)}
-    names = [f"entry-{i}" for i in range(entries)] + [u.name for u in ups]
+    upstream_list = [Upstream(f"u-{i}", f"h-{i % halls}", "", "x", 8) for i in range(upstreams)]
+    indexes = {u.name: entries + idx for idx, u in enumerate(upstream_list)}
+    names = [f"entry-{i}" for i in range(entries)] + [u.name for u in upstream_list]
     processes = [
-        _Process(n, compute_poll_limit_ms(n, POLL_MIN_MS, POLL_MAX_MS), rng.randrange(BEAT_MS))
+        _Process(n, compute_poll_limit_ms(n, POLL_MIN_MS, POLL_MAX_MS), rng.randrange(HEARTBEAT_MS))
         for n in names
     ]
     for idx in range(entries):
-        subset = choose_subset(f"entry-{idx}", f"h-{idx % halls}", ups, SUBSET)
-        processes[idx].peers = [places[u.name] for u in subset]
+        subset = choose_subset(f"entry-{idx}", f"h-{idx % halls}", upstream_list, SUBSET_SIZE)
+        processes[idx].peers = [indexes[u.name] for u in subset]
     return processes
 
 
@@ -75,7 +75,7 @@
             if is_poll_due(age_ms, now_ms - process.polled_ms, process.limit_ms, 0):
                 process.polled_ms, polls = now_ms, polls + 1
                 process.version, process.confirmed_ms = version, now_ms
-            if now_ms % BEAT_MS == process.beat_at_ms // TICK_MS * TICK_MS:
+            if now_ms % HEARTBEAT_MS == process.heartbeat_at_ms // TICK_MS * TICK_MS:
                 for peer in process.peers:
                     _exchange(process, processes[peer])
         if len(delays) < version and all(p.version == version for p in processes):
@@ -84,7 +84,7 @@
 
 
 def _exchange(a: _Process, b: _Process) -> None:
-    """Let two processes hear each other's version and when it was known to be current."""
+    """Exchange versions and the times when they were confirmed as current."""
     newest = max(a.version, b.version)
     confirmed_ms = max(p.confirmed_ms for p in (a, b) if p.version == newest)
     for process in (a, b):
--- a/benchmarks/switch.py
+++ b/benchmarks/switch.py
@@ -1,7 +1,8 @@
-"""Measure what a switch costs a group: three ways to let ranks agree on the step.
+"""Compare how long a group is blocked by a switch under three ways to agree on its step.
 
-votes: the product's. service: a two-phase commit with its decision in the key-value service, where
-each rank reads the decision. pause: stop all ranks, change, go on (the naive way).
+votes: the production protocol, measured. service: a two-phase commit whose decision is stored in
+the key-value service and read by each rank, computed. pause: stop all ranks, load the weights and
+continue, computed.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 
 
 def run() -> None:
-    """Switch back and forth and print the time that the group stood still, in steps."""
+    """Switch maps repeatedly and print how long the group was blocked, in ms and steps."""
     votes = [_switch_by_votes(seed) for seed in range(2, 2 + SWITCHES)]
     step_ms = statistics.mean(v[1] for v in votes)
-    waited = [v[0] for v in votes]
-    # Armed ranks of a decision kept in the service wait for a write and one read after arming;
-    # with the same lead of steps they need not stop, but while the service is down they do.
+    blocked_ms = [v[0] for v in votes]
+    # With a decision in the service, armed ranks wait for a write and a read after arming. With
+    # the same lead of steps this does not block them, except while the service is unavailable.
     print_pairs(
         way="votes",
         switches=SWITCHES,
         ranks=RANKS,
-        stood_still_ms_mean=statistics.mean(waited),
-        stood_still_ms_max=max(waited),
-        lost_steps_per_switch=statistics.mean(waited) / step_ms,
+        stood_still_ms_mean=statistics.mean(blocked_ms),
+        stood_still_ms_max=max(blocked_ms),
+        lost_steps_per_switch=statistics.mean(blocked_ms) / step_ms,
         platform_calls_per_switch=0,
     )
     moved = statistics.mean(v[2] for v in votes)
@@ -49,23 +50,23 @@
         platform_calls_per_switch=1 + 2 * RANKS,
         stands_still_in_an_outage="until it ends",
     )
-    print_pairs(lost_steps_ratio_to_pause=statistics.mean(waited) / pause_ms)
+    print_pairs(lost_steps_ratio_to_pause=statistics.mean(blocked_ms) / pause_ms)
 
 
 def _switch_by_votes(seed: int) -> tuple[float, float, int]:
-    """Return the time the group stood still, the length of a step and the weights moved."""
+    """Return the blocked time and mean step time in ms, and the number of moved weights."""
     bench = GroupBench()
     try:
         bench.group.set_demand(make_demand(seed))
         bench.wait_steps(20)
-        waited_before = bench.group.waited_ms
+        blocked_before_ms = bench.group.waited_ms
         planner = bench.run_planner(1)
         wait_for(bench.is_settled, "settled")
         bench.wait_steps(80)
-        waited = bench.group.waited_ms - waited_before
-        times = bench.group.times_ms[-80:]
+        blocked_ms = bench.group.waited_ms - blocked_before_ms
+        recent_step_times_ms = bench.group.times_ms[-80:]
         moves = int(planner.last_reason.split()[0]) if "moves lower" in planner.last_reason else 0
-        return waited, statistics.mean(times), moves
+        return blocked_ms, statistics.mean(recent_step_times_ms), moves
     finally:
         bench.close()
         time.sleep(0)
--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -1,4 +1,4 @@
-"""Make demand for experts as it drifts through a day: tokens for each expert of each layer."""
+"""Generate traces of drifting expert demand: tokens per expert and layer in each window."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """Give a trace its size; each layer routes `tokens` tokens to experts in each window."""
+    """Hold the size of a trace; each layer routes `tokens` tokens per window."""
 
     layers: int
     experts: int
@@ -23,7 +23,7 @@
 
 
 def _make_mix(rng: random.Random, experts: int, hot: int) -> list[float]:
-    """Return a popularity with a few hot experts, as one kind of request has."""
+    """Return popularity shares with a few hot experts, as for one kind of request."""
     weights = [rng.gammavariate(2.0, 1.0) for _ in range(experts)]
     for expert in rng.sample(range(experts), hot):
         weights[expert] *= rng.uniform(4, 10)
@@ -32,7 +32,7 @@
 
 
 def _sample(rng: random.Random, shares: list[float], tokens: int) -> list[float]:
-    """Return noisy counts around the shares (normal to the Poisson's deviation)."""
+    """Return counts drawn from the normal approximation of the Poisson distribution."""
     return [max(0.0, rng.gauss(s * tokens, math.sqrt(s * tokens))) for s in shares]
 
 
@@ -70,7 +70,7 @@
 
 
 def make_trace(name: str, shape: Shape) -> Iterator[Demand]:
-    """Yield the demand of each window: `warm_up` of the first mix, then as the trace moves."""
+    """Yield the demand of each window: `warm_up` windows of the first mix, then the trace."""
     rng = random.Random(shape.seed)
     hot = max(1, shape.experts // 16)
     first = [_make_mix(rng, shape.experts, hot) for _ in range(shape.layers)]
--- a/benchmarks/urgent.py
+++ b/benchmarks/urgent.py
@@ -1,10 +1,10 @@
-"""Measure how long urgent requests wait at two times capacity, against first-come."""
+"""Measure the latency of urgent requests at two times capacity against first-come service."""
 
 from __future__ import annotations
 
 import threading
 
-from benchmarks.load import Samples, engine_stats, run_threads, send_chat
+from benchmarks.load import Samples, read_engine_stats, run_threads, send_chat
 from benchmarks.report import percentile, print_pairs
 from dalehollow.clock import read_clock
 from dalehollow.web import HttpClient
@@ -21,7 +21,7 @@
 
 
 def run() -> None:
-    """Run idle, first-come (all alike) and urgent-first one after the other on one hall."""
+    """Run idle, first-come (equal priorities) and urgent-first in sequence on one hall."""
     with Launcher() as launcher:
         hall = start_hall(launcher, engines=ENGINES, plain=(), slots=SLOTS, step_ms=STEP_MS)
         idle, _, _ = _measure(hall, clients=0, urgent_priority="urgent")
@@ -50,7 +50,7 @@
 
 
 def _measure(hall: Hall, clients: int, urgent_priority: str) -> tuple[Samples, float, int]:
-    """Return the urgent samples, the engines' tokens a second and the background answers."""
+    """Return the urgent samples, the token rate in 1/s and the number of background responses."""
     urgent, background = Samples(), Samples()
     stopping = threading.Event()
     http = HttpClient(connect_timeout_s=1)
@@ -66,14 +66,14 @@
             if priority == "background":
                 background.add(sample)
 
-    before = sum(s["tokens_made"] for s in engine_stats(hall.engines))
+    before = sum(s["tokens_made"] for s in read_engine_stats(hall.engines))
     began_s = read_clock()
     timer = threading.Timer(DURATION_S, stopping.set)
     timer.start()
     run_threads(clients + 1, work)
     took_s = read_clock() - began_s
-    made = sum(s["tokens_made"] for s in engine_stats(hall.engines)) - before
-    return urgent, made / took_s, len(background.answered())
+    generated_tokens = sum(s["tokens_made"] for s in read_engine_stats(hall.engines)) - before
+    return urgent, generated_tokens / took_s, len(background.answered())
 
 
 def _send_urgent(
