--- a/tests/test_hall.py
+++ b/tests/test_hall.py
@@ -1,4 +1,4 @@
-"""Test a whole hall of processes from callers to upstreams and back."""
+"""Test the processes of a hall end to end, from callers to upstreams and back."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 AUTH = {"authorization": f"Bearer {ACCOUNT_KEYS['colombo-city']}"}
 
 
-def call(
+def post(
     hall: Hall, path: str, body: Any = None, headers: dict[str, str] | None = None, entry: int = 0
 ) -> Answer:
     return (
@@ -35,14 +35,14 @@
     )
 
 
-def runs_of(hall: Hall, name: str) -> dict[str, int]:
+def read_executions(hall: Hall, name: str) -> dict[str, int]:
     client = HttpClient(connect_timeout_s=1)
     answer = client.call("GET", hall.plain[name].http, "/_runs", timeout_s=5).unwrap()
     runs: dict[str, int] = json.loads(answer.read())
     return runs
 
 
-def chat(prompt: str, tokens: int = 8) -> dict[str, Any]:
+def make_chat_body(prompt: str, tokens: int = 8) -> dict[str, Any]:
     return {
         "model": "kelani-assist",
         "max_tokens": tokens,
@@ -50,28 +50,28 @@
     }
 
 
-def test_each_gets_its_own_whole_answer(hall: Hall) -> None:
-    def ask(idx: int) -> bool:
+def test_each_request_gets_its_own_complete_response(hall: Hall) -> None:
+    def is_own_response(idx: int) -> bool:
         prompt = f"ticket {idx}"
-        answer = call(hall, "/v1/chat/completions", chat(prompt), entry=idx % 2)
+        answer = post(hall, "/v1/chat/completions", make_chat_body(prompt), entry=idx % 2)
         content = json.loads(answer.read())["choices"][0]["message"]["content"]
         return bool(content == "".join(make_token(prompt, i) for i in range(8)))
 
     with ThreadPoolExecutor(16) as pool:
-        assert all(pool.map(ask, range(64)))
+        assert all(pool.map(is_own_response, range(64)))
 
 
-def test_retry_at_another_entry_gets_the_first_answer(hall: Hall) -> None:
+def test_retry_at_another_entry_gets_the_first_response(hall: Hall) -> None:
     headers = {"idempotency-key": "pay-1"}
-    first = call(hall, "/gate/confirm", {"session": 1}, headers, entry=0)
+    first = post(hall, "/gate/confirm", {"session": 1}, headers, entry=0)
     body = first.read()
-    again = call(hall, "/gate/confirm", {"session": 1}, headers, entry=1)
-    assert again.read() == body
-    assert again.headers["dalehollow-replayed"] == "true"
-    assert runs_of(hall, "gate-1")[json.dumps({"session": 1})] == 1
+    replayed = post(hall, "/gate/confirm", {"session": 1}, headers, entry=1)
+    assert replayed.read() == body
+    assert replayed.headers["dalehollow-replayed"] == "true"
+    assert read_executions(hall, "gate-1")[json.dumps({"session": 1})] == 1
 
 
-BAD_REQUESTS = [
+REJECTED_REQUESTS = [
     ("/nowhere", {}, {}, 404, "choices: /floor, /gate, /v1/chat/completions"),
     ("/v1/chat/completions", b"{", {}, 400, "body is not JSON"),
     ("/v1/chat/completions", [], {}, 404, "field 'model' is None; choices: kelani-assist"),
@@ -86,11 +86,11 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "body", "headers", "status", "message"), BAD_REQUESTS)
-def test_bad_request(
+@pytest.mark.parametrize(("path", "body", "headers", "status", "message"), REJECTED_REQUESTS)
+def test_rejected_request(
     hall: Hall, path: str, body: Any, headers: dict[str, str], status: int, message: str
 ) -> None:
-    answer = call(hall, path, body, headers)
+    answer = post(hall, path, body, headers)
     assert answer.status == status
     error = json.loads(answer.read())["error"]
     assert message in error["message"]
@@ -104,35 +104,35 @@
         "dalehollow-may-retry": "true",
         "dalehollow-reason": "queue_full",
     }
-    answer = call(hall, "/gate/confirm", {"session": "forged"}, forged)
+    answer = post(hall, "/gate/confirm", {"session": "forged"}, forged)
     assert answer.status == 200
     assert answer.headers["dalehollow-verdict"] == "RAN"
     assert "dalehollow-reason" not in answer.headers
 
 
 @pytest.mark.parametrize(
-    ("mode", "status", "verdict", "ran"),
+    ("mode", "status", "verdict", "executions"),
     [
         ("refuse", 503, "RAN", 0),
         ("cut_before", 502, "MAY_HAVE_RUN", 1),
         ("cut_answer", 200, "RAN", 1),
     ],
 )
-def test_upstream_fault(hall: Hall, mode: str, status: int, verdict: str, ran: int) -> None:
+def test_upstream_fault(hall: Hall, mode: str, status: int, verdict: str, executions: int) -> None:
     fault = json.dumps({"mode": mode, "count": 1}).encode()
     client = HttpClient(connect_timeout_s=1)
     client.call(
         "PUT", hall.plain["gate-1"].http, "/_fault", body=fault, timeout_s=5
     ).unwrap().read()
-    answer = call(hall, "/gate/confirm", {"session": mode})
+    answer = post(hall, "/gate/confirm", {"session": mode})
     assert (answer.status, answer.headers["dalehollow-verdict"]) == (status, verdict)
-    assert runs_of(hall, "gate-1").get(json.dumps({"session": mode}), 0) == ran
+    assert read_executions(hall, "gate-1").get(json.dumps({"session": mode}), 0) == executions
     if mode == "cut_answer":
         with pytest.raises(ConnectionError):
             answer.read()
 
 
-def test_planned_stops_cut_nothing_off() -> None:
+def test_graceful_stops_do_not_interrupt_streams() -> None:
     with Launcher() as launcher:
         hall = start_hall(launcher, engines=1, plain=(), settings={"leave_ms": 50})
         with ThreadPoolExecutor(4) as pool:
@@ -141,20 +141,20 @@
                 "priority": "normal",
                 "method": "POST",
                 "path": "/v1/chat/completions",
-                "body": {**chat("long", 400), "stream": True},
+                "body": {**make_chat_body("long", 400), "stream": True},
             }
-            running = [pool.submit(send_request, hall.entries[0], request) for _ in range(4)]
-            stats_of = hall.engines[0].http
+            streams = [pool.submit(send_request, hall.entries[0], request) for _ in range(4)]
+            engine_http = hall.engines[0].http
             client = HttpClient(connect_timeout_s=1)
 
             def count_running() -> int:
-                answer = client.call("GET", stats_of, "/stats", timeout_s=5).unwrap()
+                answer = client.call("GET", engine_http, "/stats", timeout_s=5).unwrap()
                 return int(json.loads(answer.read())["running"])
 
             wait_for(lambda: count_running() == 4, "four streams")
             hall.entries[0].send_signal(signal.SIGTERM)
             hall.sidecars["model-0"].send_signal(signal.SIGTERM)
-            for future in running:
+            for future in streams:
                 result = future.result()
                 assert result["body"].endswith("data: [DONE]\n\n")
         assert hall.entries[0].stop() == 0
