--- a/benchmarks/footprint.py
+++ b/benchmarks/footprint.py
@@ -11,7 +11,7 @@
 from dalehollow.config import apply_text
 from dalehollow.platform.keyvalue import HttpKeyValue
 from standins.hall import Hall, wait_for_version
-from standins.processes import Launcher, Running
+from standins.processes import Launcher, RunningProcess
 
 _BARE = """
 import cheroot.server, fire, hdrh.histogram, pyjson5, msgspec, pynng, result, urllib3
@@ -62,5 +62,5 @@
             )
 
 
-def _rss_kib(process: Running) -> int:
+def _rss_kib(process: RunningProcess) -> int:
     return int(Path(f"/proc/{process.popen.pid}/statm").read_text().split()[1]) * _PAGE_KIB
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -13,7 +13,7 @@
 from dalehollow.clock import read_clock
 from dalehollow.web import HttpClient
 from standins.hall import ACCOUNT_KEYS
-from standins.processes import Running
+from standins.processes import RunningProcess
 
 
 @dataclass(frozen=True)
@@ -111,7 +111,7 @@
         thread.join()
 
 
-def read_engine_stats(engines: list[Running]) -> list[dict[str, int]]:
+def read_engine_stats(engines: list[RunningProcess]) -> list[dict[str, int]]:
     """Return the statistics that the engines report."""
     client = HttpClient(connect_timeout_s=1)
     return [
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -10,7 +10,7 @@
 from dalehollow.clock import read_clock
 from dalehollow.web import HttpClient
 from standins.hall import Hall, start_hall
-from standins.processes import Launcher, Running
+from standins.processes import Launcher, RunningProcess
 
 ENGINES = 4
 STREAMS = 200
@@ -83,7 +83,7 @@
     return samples
 
 
-def _read_cpu_s(process: Running) -> float:
+def _read_cpu_s(process: RunningProcess) -> float:
     """Return the CPU time used by a process in s."""
     fields = Path(f"/proc/{process.popen.pid}/stat").read_text().rsplit(") ", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -16,7 +16,7 @@
 from dalehollow.clock import read_clock
 from dalehollow.web import HttpClient
 from standins.hall import start_hall
-from standins.processes import Launcher, Running
+from standins.processes import Launcher, RunningProcess
 
 SIZES: dict[str, Sequence[int]] = {
     "accounts": (500, 1_000, 2_200, 4_400),
@@ -85,7 +85,7 @@
         )
 
 
-def read_cpu_s(process: Running) -> float:
+def read_cpu_s(process: RunningProcess) -> float:
     """Return the CPU time used by a process in s."""
     fields = Path(f"/proc/{process.popen.pid}/stat").read_text().rsplit(") ", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
--- a/benchmarks/switch.py
+++ b/benchmarks/switch.py
@@ -59,12 +59,12 @@
     try:
         bench.group.set_demand(make_demand(seed))
         bench.wait_steps(20)
-        blocked_before_ms = bench.group.waited_ms
+        blocked_before_ms = bench.group.blocked_ms
         planner = bench.run_planner(1)
         wait_for(bench.is_settled, "settled")
         bench.wait_steps(80)
-        blocked_ms = bench.group.waited_ms - blocked_before_ms
-        recent_step_times_ms = bench.group.times_ms[-80:]
+        blocked_ms = bench.group.blocked_ms - blocked_before_ms
+        recent_step_times_ms = bench.group.step_times_ms[-80:]
         moves = int(planner.last_reason.split()[0]) if "moves lower" in planner.last_reason else 0
         return blocked_ms, statistics.mean(recent_step_times_ms), moves
     finally:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -15,17 +15,17 @@
 from soak.promises import CRASHING_ID
 from soak.proxy import Mode
 from soak.world import CRASHING_BODY, Gateway, World
-from standins.server import Way
+from standins.server import ResponseMode
 
 BAD_WAYS = (
-    Way.ERROR,
-    Way.REFUSE,
-    Way.CUT_UNANSWERED,
-    Way.CUT_IN_EVENT,
-    Way.CUT_BODY,
-    Way.OTHERS_ANSWER_FIRST,
-    Way.SURPLUS,
-    Way.HANG,
+    ResponseMode.ERROR,
+    ResponseMode.REFUSE,
+    ResponseMode.CUT_UNANSWERED,
+    ResponseMode.CUT_IN_EVENT,
+    ResponseMode.CUT_BODY,
+    ResponseMode.OTHERS_ANSWER_FIRST,
+    ResponseMode.SURPLUS,
+    ResponseMode.HANG,
 )
 BROKEN_MODES = (Mode.DELAY, Mode.RESET, Mode.SILENT, Mode.SILENT_THERE, Mode.SILENT_BACK)
 STORE_FAULTS = ("busy", "silent", "lost")
@@ -195,7 +195,7 @@
 
 
 async def _forget_history(world: World, fault: Fault) -> None:
-    world.store.forget_history()
+    world.store.discard_history()
 
 
 async def _end_leases(world: World, fault: Fault) -> None:
@@ -269,9 +269,12 @@
         return
     world.ledger.speaking.add(speaker)
     server = world.servers[speaker]
-    server.says, server.is_refusing = [(name.encode(), value.encode())], name == "retry-after"
+    server.extra_headers, server.is_refusing = (
+        [(name.encode(), value.encode())],
+        name == "retry-after",
+    )
     await asyncio.sleep(for_s)
-    server.says, server.is_refusing = [], False
+    server.extra_headers, server.is_refusing = [], False
     world.ledger.speaking.discard(speaker)
 
 
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from standins.server import whole_stream
+from standins.server import make_stream_body
 
 CRASHING_ID = "crashing-"
 """The ids of requests that crash whoever begins to run them begin so."""
@@ -127,7 +127,7 @@
             continue
         if a.answered_id != a.request_id:
             yield Violation("own answer", f"{a.request_id} got the answer to {a.answered_id!r}")
-        expected = whole_stream() if a.kind == "stream" else PLAIN_BODY
+        expected = make_stream_body() if a.kind == "stream" else PLAIN_BODY
         if a.body != expected:
             yield Violation("whole answer", f"{a.request_id} ({a.kind}) got {a.body[:80]!r}")
 
--- a/soak/world.py
+++ b/soak/world.py
@@ -24,7 +24,7 @@
 )
 from soak.proxy import Mode, Proxy
 from standins.platform import GatewayProcess, launch_gateway, listen
-from standins.server import ServerStandIn, Way
+from standins.server import ResponseMode, ServerStandIn
 
 HOST = "floor.example"
 KEY = "key-of-ana"
@@ -75,7 +75,7 @@
 
     ledger: Ledger = field(default_factory=Ledger)
     rng: random.Random = field(default_factory=random.Random)
-    bad_ways: Sequence[Way] = ()
+    bad_ways: Sequence[ResponseMode] = ()
     # Refuses everything, which alone makes a time of rest be heard.
     is_refusing: bool = False
 
@@ -85,14 +85,14 @@
         request_id = (request.get(b"x-request-id") or b"").decode()
         self.ledger.arrivals[self.incarnation].append(Arrival(now_s, request_id))
         if self.bad_ways and self.rng.random() < 0.5:
-            self.ways.append(self.rng.choice(self.bad_ways))
+            self.next_modes.append(self.rng.choice(self.bad_ways))
         if self.is_refusing:
-            self.ways = [Way.REFUSE]
+            self.next_modes = [ResponseMode.REFUSE]
         before = len(self.runs)
-        says = () if self.bad_ways else tuple(self.says)
+        extra_headers = () if self.bad_ways else tuple(self.extra_headers)
         try:
             await super().handle(caller, request)
-            for name, value in says:
+            for name, value in extra_headers:
                 told = Told(self.incarnation, request_id, name.decode(), float(value), now_s)
                 self.ledger.told.append(told)
         finally:
@@ -197,8 +197,8 @@
         """Start a server behind a proxy, and list it."""
         self._server_count += 1
         name = f"server-{self._server_count}"
-        server = SoakServer(name, pace_s=PACE_S, ledger=self.ledger, rng=self.rng)
-        server.crashed_by, server.on_crash = CRASHING_BODY, lambda: self._crash_server(name)
+        server = SoakServer(name, response_delay_s=PACE_S, ledger=self.ledger, rng=self.rng)
+        server.crash_body, server.on_crash = CRASHING_BODY, lambda: self._crash_server(name)
         proxy = Proxy(await listen(server.handle))
         await proxy.open()
         self.servers[name], self.proxies[name] = server, proxy
@@ -262,11 +262,11 @@
 
     async def _take_copies(self) -> None:
         while True:
-            self.store.take_copy()
+            self.store.back_up()
             await asyncio.sleep(COPY_EACH_S)
 
     async def _end_leases(self) -> None:
         while True:
             await asyncio.sleep(LEASE_CHECK_S)
             if self.store.fault == "none":
-                self.store.end_lapsed_leases()
+                self.store.end_expired_leases()
--- a/standins/hall.py
+++ b/standins/hall.py
@@ -20,7 +20,7 @@
 from dalehollow.jsonc import parse_jsonc
 from dalehollow.platform.keyvalue import HttpKeyValue
 from dalehollow.web import HttpClient
-from standins.processes import Launcher, Running
+from standins.processes import Launcher, RunningProcess
 
 REQUESTS_PATH = Path(__file__).parent.parent / "examples" / "requests.json5"
 _READY_TIMEOUT_S = 20
@@ -38,11 +38,11 @@
 class Hall:
     """Hold the processes of one hall."""
 
-    platform: Running
-    engines: list[Running] = field(default_factory=list)
-    plain: dict[str, Running] = field(default_factory=dict)
-    sidecars: dict[str, Running] = field(default_factory=dict)
-    entries: list[Running] = field(default_factory=list)
+    platform: RunningProcess
+    engines: list[RunningProcess] = field(default_factory=list)
+    plain: dict[str, RunningProcess] = field(default_factory=dict)
+    sidecars: dict[str, RunningProcess] = field(default_factory=dict)
+    entries: list[RunningProcess] = field(default_factory=list)
 
 
 def digest_key(key: str) -> str:
@@ -101,7 +101,7 @@
 
 def _start_sidecar(
     launcher: Launcher, hall: Hall, name: str, upstream_http: str, extra_settings: dict[str, Any]
-) -> Running:
+) -> RunningProcess:
     return launcher.start_process(
         role="sidecar",
         name=f"sidecar-{name}",
@@ -169,7 +169,7 @@
     return version
 
 
-def wait_for_version(process: Running, version: int) -> None:
+def wait_for_version(process: RunningProcess, version: int) -> None:
     """Wait until a process has activated a configuration version."""
     client = HttpClient(connect_timeout_s=1.0)
     deadline_s = read_clock() + _READY_TIMEOUT_S
@@ -182,7 +182,7 @@
     raise RuntimeError(f"process {process.name!r} did not activate version {version} in time")
 
 
-def send_request(entry: Running, request: dict[str, Any]) -> dict[str, Any]:
+def send_request(entry: RunningProcess, request: dict[str, Any]) -> dict[str, Any]:
     """Send one request, read the complete response and return a summary of it."""
     headers = {
         "authorization": f"Bearer {ACCOUNT_KEYS[request['account']]}",
--- a/standins/metadata.py
+++ b/standins/metadata.py
@@ -55,8 +55,8 @@
     def __init__(self) -> None:
         self.fault = "none"
         self.calls: list[str] = []
-        self.waits_ms: list[int] = []
-        self.unheard: list[str] = []
+        self.watch_waits_ms: list[int] = []
+        self.unanswered_targets: list[str] = []
         self.items: dict[str, _Item] = {}
         self.revision = 1
         self.oldest_watchable_revision = 0
@@ -72,7 +72,7 @@
         path, _, query_text = request.target.decode().partition("?")
         self.calls.append(path)
         if self.fault == "silent":
-            self.unheard.append(request.target.decode())
+            self.unanswered_targets.append(request.target.decode())
             await asyncio.Event().wait()
         if self.fault == "busy":
             caller.send_whole(503, self._make_headers(), b"")
@@ -99,12 +99,12 @@
             self.revision += 1
             self._record_event(key, None)
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Make watches from earlier revisions fail with 410, as if the history were discarded."""
         self.oldest_watchable_revision = self.revision
         self._notify_watchers()
 
-    def take_copy(self) -> None:
+    def back_up(self) -> None:
         """Back up the current items, leases and revision for `restore`."""
         items, leases = copy.deepcopy(self.items), copy.deepcopy(self._leases)
         self._backup = _Backup(items, leases, self.revision)
@@ -124,7 +124,7 @@
         for key in [k for k, item in self.items.items() if item.lease == lease]:
             self.delete(key)
 
-    def end_lapsed_leases(self) -> None:
+    def end_expired_leases(self) -> None:
         """End expired leases; leases do not expire unless this is called."""
         now_s = asyncio.get_running_loop().time()
         for lease, state in list(self._leases.items()):
@@ -178,7 +178,7 @@
 
     async def _watch(self, query: dict[str, str]) -> tuple[int, Any]:
         after, prefix = int(query["afterRevision"]), query["pathPrefix"]
-        self.waits_ms.append(int(query["waitMs"]))
+        self.watch_waits_ms.append(int(query["waitMs"]))
         try:
             async with asyncio.timeout(int(query["waitMs"]) / 1000):
                 while True:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -83,7 +83,7 @@
     )
 
 
-async def list_servers(store: MetadataStandIn, incarnations: Sequence[str]) -> list[ServerStandIn]:
+async def start_servers(store: MetadataStandIn, incarnations: Sequence[str]) -> list[ServerStandIn]:
     """Start servers and register them in the store."""
     servers = []
     for incarnation in incarnations:
@@ -156,7 +156,9 @@
         await asyncio.sleep(0.01)
 
 
-async def ask(address: str, path: str, request_id: str, method: str = "POST") -> tuple[int, bytes]:
+async def send_request(
+    address: str, path: str, request_id: str, method: str = "POST"
+) -> tuple[int, bytes]:
     """Send one request and return the status and body of the response."""
     connection = await connect(address, _TIMEOUT_S)
     head = (
@@ -171,9 +173,9 @@
         connection.abort()
 
 
-async def wait_ready(gateway: GatewayProcess) -> None:
+async def wait_until_ready(gateway: GatewayProcess) -> None:
     """Wait until the readiness endpoint of a gateway returns 200."""
-    while (await ask(gateway.ready, "/ready", "r", "GET"))[0] != 200:
+    while (await send_request(gateway.ready, "/ready", "r", "GET"))[0] != 200:
         await asyncio.sleep(0.01)
 
 
@@ -181,17 +183,17 @@
     store = MetadataStandIn()
     store.put("op/config", make_configuration())
     store_address = await listen(store.handle)
-    servers = await list_servers(store, ["server-1", "server-2", "server-3"])
+    servers = await start_servers(store, ["server-1", "server-2", "server-3"])
     with tempfile.TemporaryDirectory() as directory:
         async with (
             start_gateway(store_address, "gateway-1", Path(directory)) as first,
             start_gateway(store_address, "gateway-2", Path(directory)) as second,
         ):
             for gateway in (first, second):
-                await wait_ready(gateway)
+                await wait_until_ready(gateway)
             for number, path in enumerate(("/status/a", "/pay/b", "/stream/c", "/nowhere") * 2):
                 gateway = (first, second)[number % 2]
-                status, body = await ask(gateway.http, path, f"demo-{number}")
+                status, body = await send_request(gateway.http, path, f"demo-{number}")
                 print(f"gateway={gateway.http} path={path} status={status} bytes={len(body)}")
             codes = [await gateway.stop() for gateway in (first, second)]
             print(f"runs={sum(len(s.runs) for s in servers)} exit_codes={codes}")
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class Running:
+class RunningProcess:
     """Hold a started process and the addresses it printed at its start."""
 
     name: str
@@ -55,7 +55,7 @@
     """Start processes, and stop all of them when the context exits."""
 
     log_path: str | None = None
-    running: list[Running] = field(default_factory=list)
+    running: list[RunningProcess] = field(default_factory=list)
     _directory: tempfile.TemporaryDirectory[str] = field(
         default_factory=tempfile.TemporaryDirectory
     )
@@ -72,16 +72,16 @@
             process.stop()
         self._directory.cleanup()
 
-    def start_standin(self, name: str, module: str, **flags: object) -> Running:
+    def start_standin(self, name: str, module: str, **flags: object) -> RunningProcess:
         args = [f"--{k}={v}" for k, v in flags.items()]
         return self._start(name, [sys.executable, "-m", f"standins.{module}", *args])
 
-    def start_process(self, **settings: Any) -> Running:
+    def start_process(self, **settings: Any) -> RunningProcess:
         path = Path(self._directory.name) / f"{settings['name']}.json"
         path.write_text(json.dumps(settings))
         return self._start(settings["name"], [sys.executable, "-m", "dalehollow", "run", str(path)])
 
-    def _start(self, name: str, command: list[str]) -> Running:
+    def _start(self, name: str, command: list[str]) -> RunningProcess:
         with open(self.log_path or "/dev/null", "a") as log:
             popen = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=log, text=True)
         assert popen.stdout is not None
@@ -91,6 +91,6 @@
             popen.wait()
             raise RuntimeError(f"process {name!r} exited before it was ready")
         pairs = dict(pair.split("=", 1) for pair in line.split())
-        running = Running(name, popen, pairs)
+        running = RunningProcess(name, popen, pairs)
         self.running.append(running)
         return running
--- a/standins/ranks.py
+++ b/standins/ranks.py
@@ -58,8 +58,8 @@
         self.load_ms_per_weight = load_ms_per_weight
         self.ranks = [_Rank(Ledger(map_digest=digest_map(first))) for _ in range(ranks)]
         self.history: list[frozenset[str]] = []
-        self.times_ms: list[float] = []
-        self.waited_ms = 0.0
+        self.step_times_ms: list[float] = []
+        self.blocked_ms = 0.0
         self._rng = random.Random(seed)
         self._changed = threading.Condition()
         self._stopping = False
@@ -76,7 +76,7 @@
         with self._changed:
             self.demand = [list(d) for d in demand]
 
-    def stall(self, rank: int, is_stalled: bool) -> None:
+    def set_stalled(self, rank: int, is_stalled: bool) -> None:
         with self._changed:
             self.ranks[rank].is_stalled = is_stalled
             self._changed.notify_all()
@@ -152,7 +152,7 @@
                 if not self._can_step():
                     wait_started_at_s = read_clock()
                     self._changed.wait_for(lambda: self._stopping or self._can_step())
-                    self.waited_ms += (read_clock() - wait_started_at_s) * 1000
+                    self.blocked_ms += (read_clock() - wait_started_at_s) * 1000
                 if self._stopping:
                     return
                 step_s = self._step() / 1000
@@ -172,7 +172,7 @@
             self._count(layer, demand, used[0])
         self.history.append(frozenset(used))
         step_ms = self.step_ms * max_load / mean_load
-        self.times_ms.append(step_ms)
+        self.step_times_ms.append(step_ms)
         for rank in self.ranks:
             rank.step_ms = step_ms
             rank.ledger = replace(rank.ledger, step=rank.ledger.step + 1)
@@ -209,8 +209,8 @@
                 "steps": group.steps(),
                 "mixed_steps": group.mixed_steps(),
                 "versions": [ledger.version for ledger in ledgers],
-                "waited_ms": group.waited_ms,
-                "last_step_ms": group.times_ms[-1] if group.times_ms else 0.0,
+                "waited_ms": group.blocked_ms,
+                "last_step_ms": group.step_times_ms[-1] if group.step_times_ms else 0.0,
             }
             return HttpResponse(200, {}, msgspec.json.encode(group_history))
         return group.handle(req)
--- a/standins/server.py
+++ b/standins/server.py
@@ -1,7 +1,8 @@
 """Simulate the users' servers: plain responses and event streams, with fault injection.
 
-Each request takes the next of the configured `ways`; without one, the server responds normally.
-Implements the published protocol on the running event loop and records the requests it executed.
+Each request takes the first of the remaining `next_modes`; without one, the server responds
+normally. Implements the published protocol on the running event loop and records the requests it
+executed.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 
 from dalehollow.aio import CallerConnection, CallerRequest
 
-EVENTS = 6
+EVENT_COUNT = 6
 
 
-class Way(enum.StrEnum):
+class ResponseMode(enum.StrEnum):
     """List how a server can respond to a request."""
 
-    WELL = "well"
+    NORMAL = "well"
     ERROR = "error"
     REFUSE = "refuse"
     REFUSE_BROKEN = "refuse_broken"
@@ -38,9 +39,9 @@
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
-def whole_stream() -> bytes:
+def make_stream_body() -> bytes:
     """Return the complete body of a stream."""
-    return b"".join(make_event(number) for number in range(1, EVENTS + 1))
+    return b"".join(make_event(number) for number in range(1, EVENT_COUNT + 1))
 
 
 @dataclass
@@ -48,19 +49,19 @@
     """Hold the requests a server received and executed, and its next responses."""
 
     incarnation: str
-    ways: list[Way] = field(default_factory=list)
+    next_modes: list[ResponseMode] = field(default_factory=list)
     # Additional headers of every response, such as the load and limit that a server reports.
-    says: list[tuple[bytes, bytes]] = field(default_factory=list)
+    extra_headers: list[tuple[bytes, bytes]] = field(default_factory=list)
     # A request with this body crashes the server when execution begins, and calls `on_crash`.
-    crashed_by: bytes = b""
+    crash_body: bytes = b""
     on_crash: Callable[[], None] = lambda: None
     # Delay before each event of a stream and before a plain response.
-    pace_s: float = 0.0
-    seen: list[CallerRequest] = field(default_factory=list)
+    response_delay_s: float = 0.0
+    received: list[CallerRequest] = field(default_factory=list)
     runs: list[str] = field(default_factory=list)
     cancelled: list[str] = field(default_factory=list)
-    reached: asyncio.Event = field(default_factory=asyncio.Event)
-    left: asyncio.Event = field(default_factory=asyncio.Event)
+    request_received: asyncio.Event = field(default_factory=asyncio.Event)
+    handler_cancelled: asyncio.Event = field(default_factory=asyncio.Event)
     _open_connections: set[CallerConnection] = field(default_factory=set)
 
     async def handle(self, caller: CallerConnection, request: CallerRequest) -> None:
@@ -77,64 +78,71 @@
         self.on_crash()
 
     async def _answer(self, caller: CallerConnection, request: CallerRequest) -> None:
-        self.seen.append(request)
-        self.reached.set()
-        way = self.ways.pop(0) if self.ways else Way.WELL
+        self.received.append(request)
+        self.request_received.set()
+        mode = self.next_modes.pop(0) if self.next_modes else ResponseMode.NORMAL
         request_id = (request.get(b"x-request-id") or b"").decode()
         if request.get(b"x-expect-instance") != self.incarnation.encode():
-            way = Way.OTHER_SERVER
+            mode = ResponseMode.OTHER_SERVER
         response_headers = [
             (b"x-request-id", request_id.encode()),
             (b"x-response-seal", b"seal"),
-            *self.says,
+            *self.extra_headers,
         ]
-        if way is Way.OTHER_SERVER:
+        if mode is ResponseMode.OTHER_SERVER:
             instance_header = (b"x-instance-id", self.incarnation.encode())
-            caller.send_whole(421, [instance_header, *self.says], b"")
+            caller.send_whole(421, [instance_header, *self.extra_headers], b"")
             return
-        if way in (Way.REFUSE, Way.REFUSE_BROKEN):
-            refusal_headers = [(b"x-not-executed", b"1"), *self.says]
-            if way is Way.REFUSE_BROKEN:
+        if mode in (ResponseMode.REFUSE, ResponseMode.REFUSE_BROKEN):
+            refusal_headers = [(b"x-not-executed", b"1"), *self.extra_headers]
+            if mode is ResponseMode.REFUSE_BROKEN:
                 refusal_headers.append((b"at-server", b"another"))
             caller.send_whole(503, refusal_headers, b"")
             return
         self.runs.append(request_id)
-        if self.crashed_by and request.body == self.crashed_by:
+        if self.crash_body and request.body == self.crash_body:
             self.crash()
             return
-        if way is Way.HANG:
+        if mode is ResponseMode.HANG:
             try:
                 await asyncio.Event().wait()
             finally:
                 self.cancelled.append(request_id)
-                self.left.set()
-        if way is Way.CUT_UNANSWERED:
+                self.handler_cancelled.set()
+        if mode is ResponseMode.CUT_UNANSWERED:
             caller.cut()
-        elif way is Way.ERROR:
+        elif mode is ResponseMode.ERROR:
             caller.send_whole(500, response_headers, b"failed")
         elif b"stream" in request.target:
-            await self._stream(caller, request, response_headers, way)
+            await self._stream(caller, request, response_headers, mode)
         else:
-            await self._answer_plain(caller, response_headers, way)
+            await self._answer_plain(caller, response_headers, mode)
 
     async def _answer_plain(
-        self, caller: CallerConnection, response_headers: list[tuple[bytes, bytes]], way: Way
+        self,
+        caller: CallerConnection,
+        response_headers: list[tuple[bytes, bytes]],
+        mode: ResponseMode,
     ) -> None:
-        await asyncio.sleep(self.pace_s)
-        if way is Way.OTHERS_ANSWER_FIRST:
+        await asyncio.sleep(self.response_delay_s)
+        if mode is ResponseMode.OTHERS_ANSWER_FIRST:
             other = [(b"x-request-id", b"other"), (b"x-response-seal", b"other")]
             caller.send_whole(200, other, b"another caller's")
-        if way is Way.OTHERS_REFUSAL_FIRST:
-            refusal_headers = [(b"x-request-id", b"other"), (b"x-not-executed", b"1"), *self.says]
+        if mode is ResponseMode.OTHERS_REFUSAL_FIRST:
+            refusal_headers = [
+                (b"x-request-id", b"other"),
+                (b"x-not-executed", b"1"),
+                *self.extra_headers,
+            ]
             caller.send_whole(503, refusal_headers, b"")
             response_headers = response_headers[:2]
-        if way is Way.CUT_BODY:
+        if mode is ResponseMode.CUT_BODY:
             caller.begin_stream(200, response_headers, length=100)
             await caller.send_piece(b"half")
             caller.cut()
             return
         caller.send_whole(200, response_headers, b"whole answer")
-        if way is Way.SURPLUS:
+        if mode is ResponseMode.SURPLUS:
             caller.send_whole(200, response_headers, b"once more")
 
     async def _stream(
@@ -142,16 +150,16 @@
         caller: CallerConnection,
         request: CallerRequest,
         response_headers: list[tuple[bytes, bytes]],
-        way: Way,
+        mode: ResponseMode,
     ) -> None:
         first_number = int(request.get(b"last-event-id") or b"0") + 1
         response_headers = [*response_headers, (b"content-type", b"text/event-stream")]
         caller.begin_stream(200, response_headers, length=None)
-        for number in range(first_number, EVENTS + 1):
-            if way is Way.CUT_IN_EVENT and number == first_number + 2:
+        for number in range(first_number, EVENT_COUNT + 1):
+            if mode is ResponseMode.CUT_IN_EVENT and number == first_number + 2:
                 await caller.send_piece(make_event(number)[:9])
                 caller.cut()
                 return
-            await asyncio.sleep(self.pace_s)
+            await asyncio.sleep(self.response_delay_s)
             await caller.send_piece(make_event(number))
         caller.end_stream()
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -424,7 +424,7 @@
         while True:
             await asyncio.sleep(LEASE_CHECK_S)
             if self.store.fault == "none":
-                self.store.end_lapsed_leases()
+                self.store.end_expired_leases()
 
     def _make_listener(self, gateway: WorldGateway) -> Listener:
         def take_table(table: RoutingTable) -> None:
--- a/tests/late_schedules.py
+++ b/tests/late_schedules.py
@@ -210,7 +210,7 @@
 
 
 async def _forget_history(world: HallWorld, name: str, rng: random.Random) -> None:
-    world.store.forget_history()
+    world.store.discard_history()
 
 
 async def _refuse_long(world: HallWorld, name: str, rng: random.Random) -> None:
@@ -230,7 +230,7 @@
     """Have the store go away and come back from a copy some seconds old."""
     if world.store.fault != "none":
         return
-    world.store.take_copy()
+    world.store.back_up()
     await asyncio.sleep(rng.uniform(0.5, 4.0))
     world.store.fault = "busy"
     await asyncio.sleep(rng.uniform(0.2, 4.0))
--- a/tests/payment_bench.py
+++ b/tests/payment_bench.py
@@ -21,7 +21,7 @@
 from dalehollow.platform.keyvalue import HttpKeyValue
 from dalehollow.web import HttpClient
 from standins.hall import digest_key, wait_for_version
-from standins.processes import Launcher, Running
+from standins.processes import Launcher, RunningProcess
 from tests.relay import Relay
 
 KEY = "demo-key-colombo"
@@ -74,10 +74,10 @@
     """Hold a hall with two entries, an owner and a spare upstream, and relays at the owner."""
 
     launcher: Launcher
-    platform: Running = field(init=False)
-    plain: dict[str, Running] = field(default_factory=dict)
-    sidecars: dict[str, Running] = field(default_factory=dict)
-    entries: list[Running] = field(default_factory=list)
+    platform: RunningProcess = field(init=False)
+    plain: dict[str, RunningProcess] = field(default_factory=dict)
+    sidecars: dict[str, RunningProcess] = field(default_factory=dict)
+    entries: list[RunningProcess] = field(default_factory=list)
     to_sidecar: Relay = field(init=False)
     to_upstream: Relay = field(init=False)
     # Long enough that no ownership change takes effect while the fault matrix runs.
@@ -105,7 +105,7 @@
         )
         self.to_sidecar.target = self.sidecars["gate-1"].http
 
-    def _start_sidecar(self, name: str, upstream_http: str, **more: Any) -> Running:
+    def _start_sidecar(self, name: str, upstream_http: str, **more: Any) -> RunningProcess:
         return self.launcher.start_process(
             role="sidecar",
             name=f"sidecar-{name}",
@@ -117,7 +117,7 @@
             **more,
         )
 
-    def _start_entry(self, idx: int) -> Running:
+    def _start_entry(self, idx: int) -> RunningProcess:
         return self.launcher.start_process(
             role="entry",
             name=f"entry-{idx}",
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -14,7 +14,7 @@
 
 from dalehollow.aio import CallerConnection, Limits
 from standins.platform import listen
-from standins.server import ServerStandIn, Way
+from standins.server import ResponseMode, ServerStandIn
 from tests.gateway_bench import GatewayBench, make_config, run_bench
 
 CRASHES = b"crashes"
@@ -29,7 +29,7 @@
     await bench.apply(make_config())
     for number in range(UPSTREAMS):
         name, starts = f"s{number}", itertools.count(1)
-        server = ServerStandIn(name, crashed_by=CRASHES)
+        server = ServerStandIn(name, crash_body=CRASHES)
         address = await listen(server.handle)
         server.on_crash = _make_restart(bench, name, address, starts)
         bench.servers[name] = server
@@ -53,7 +53,7 @@
 
 
 def _count_crashes(bench: GatewayBench) -> int:
-    return sum(request.body == CRASHES for s in bench.servers.values() for request in s.seen)
+    return sum(request.body == CRASHES for s in bench.servers.values() for request in s.received)
 
 
 def test_a_crashing_request_is_refused_after_three_crashes() -> None:
@@ -78,7 +78,7 @@
         await bench.apply(make_config())
         for number in range(UPSTREAMS):
             name = f"s{number}"
-            server = ServerStandIn(name, crashed_by=CRASHES)
+            server = ServerStandIn(name, crash_body=CRASHES)
             kept: set[CallerConnection] = set()
             listening = await asyncio.get_running_loop().create_server(
                 lambda s=server, k=kept: CallerConnection(s.handle, lambda: _LIMITS, k),
@@ -104,21 +104,21 @@
         await _add_crashing(bench)
         for _ in range(4):
             for server in bench.servers.values():
-                server.ways, server.reached = [Way.HANG], asyncio.Event()
+                server.next_modes, server.request_received = [ResponseMode.HANG], asyncio.Event()
             connections = [await bench.connect() for _ in range(UPSTREAMS)]
             others = [
                 asyncio.ensure_future(bench.ask("/pay/1", connection=c, body=b"harmless"))
                 for c in connections
             ]
             for server in bench.servers.values():
-                await server.reached.wait()
+                await server.request_received.wait()
             await bench.ask("/pay/1", body=CRASHES)
             await _wait_for_restarts(bench)
             for task, connection in zip(others, connections, strict=True):
                 task.cancel()
                 connection.abort()
             for server in bench.servers.values():
-                server.ways = []
+                server.next_modes = []
             assert (await bench.ask("/pay/1", body=b"harmless")).status == 200
             assert (await bench.ask("/pay/1")).status == 200
 
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -143,7 +143,7 @@
         for gateway in "abc":
             world.start(gateway)
         await asyncio.sleep(3.0)
-        world.store.take_copy()
+        world.store.back_up()
         if announces_leaving:
             world.write_upstream(name, "draining")
         else:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,7 +8,7 @@
 
 from dalehollow.gateway import process
 from dalehollow.groups.ranks import StoredPlan
-from standins.server import EVENTS, Way, make_event, whole_stream
+from standins.server import EVENT_COUNT, ResponseMode, make_event, make_stream_body
 from tests.gateway_bench import (
     HOST,
     TIMEOUT_S,
@@ -19,7 +19,7 @@
 )
 
 
-async def _with_servers(bench: GatewayBench, *first_ways: Way) -> None:
+async def _with_servers(bench: GatewayBench, *first_ways: ResponseMode) -> None:
     await bench.apply(make_config())
     await bench.add_server("s1", *first_ways)
 
@@ -69,7 +69,7 @@
     async def scenario(bench: GatewayBench) -> None:
         await _with_servers(bench)
         await bench.apply(make_config(7))
-        bench.store.forget_history()
+        bench.store.discard_history()
         bench.store.put("op/config", b'{"version": "unreadable"}')
         calls = len(bench.store.calls)
         await bench.until(lambda: len(bench.store.calls) > calls + 2)
@@ -91,7 +91,7 @@
             "X-Hop": "dropped",
         }
         assert (await bench.ask("/read/a%2Fb?q=%20", headers=forged, body=b"hand")).status == 200
-        seen = bench.servers["s1"].seen[0]
+        seen = bench.servers["s1"].received[0]
         assert seen.method == b"POST"
         assert seen.target == b"/read/a%2Fb?q=%20"
         assert seen.body == b"hand"
@@ -108,19 +108,19 @@
 @pytest.mark.parametrize(
     ("path", "way", "status", "runs"),
     [
-        ("/read/1", Way.REFUSE, 200, 1),
-        ("/read/1", Way.CUT_UNANSWERED, 200, 2),
-        ("/read/1", Way.CUT_BODY, 200, 2),
-        ("/read/1", Way.ERROR, 200, 2),
-        ("/pay/1", Way.REFUSE, 200, 1),
-        ("/pay/1", Way.CUT_UNANSWERED, 502, 1),
-        ("/pay/1", Way.CUT_BODY, 502, 1),
-        ("/pay/1", Way.ERROR, 500, 1),
-        ("/pay/1", Way.OTHERS_ANSWER_FIRST, 200, 1),
-        ("/read/1", Way.SURPLUS, 200, 1),
+        ("/read/1", ResponseMode.REFUSE, 200, 1),
+        ("/read/1", ResponseMode.CUT_UNANSWERED, 200, 2),
+        ("/read/1", ResponseMode.CUT_BODY, 200, 2),
+        ("/read/1", ResponseMode.ERROR, 200, 2),
+        ("/pay/1", ResponseMode.REFUSE, 200, 1),
+        ("/pay/1", ResponseMode.CUT_UNANSWERED, 502, 1),
+        ("/pay/1", ResponseMode.CUT_BODY, 502, 1),
+        ("/pay/1", ResponseMode.ERROR, 500, 1),
+        ("/pay/1", ResponseMode.OTHERS_ANSWER_FIRST, 200, 1),
+        ("/read/1", ResponseMode.SURPLUS, 200, 1),
     ],
 )
-def test_tries_and_runs(path: str, way: Way, status: int, runs: int) -> None:
+def test_tries_and_runs(path: str, way: ResponseMode, status: int, runs: int) -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _with_servers(bench, way)
         await bench.add_server("s2")
@@ -136,8 +136,8 @@
     run_bench(scenario)
 
 
-@pytest.mark.parametrize("way", [Way.REFUSE, Way.OTHER_SERVER])
-def test_a_refusal_is_true_and_says_when_to_come_back(way: Way) -> None:
+@pytest.mark.parametrize("way", [ResponseMode.REFUSE, ResponseMode.OTHER_SERVER])
+def test_a_refusal_is_true_and_says_when_to_come_back(way: ResponseMode) -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _with_servers(bench, way, way, way)
         answer = await bench.ask("/pay/1")
@@ -151,23 +151,23 @@
 
 def test_a_second_rank_of_a_broken_group_is_not_tried() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, Way.REFUSE_BROKEN)
-        await bench.add_server("s2", Way.REFUSE_BROKEN)
+        await _with_servers(bench, ResponseMode.REFUSE_BROKEN)
+        await bench.add_server("s2", ResponseMode.REFUSE_BROKEN)
         assert (await bench.ask("/stream/1")).status == 503
-        assert sum(len(s.seen) for s in bench.servers.values()) == 1
+        assert sum(len(s.received) for s in bench.servers.values()) == 1
 
     run_bench(scenario)
 
 
 def test_a_stream_that_breaks_goes_on_elsewhere() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, Way.CUT_IN_EVENT)
-        await bench.add_server("s2", Way.CUT_IN_EVENT)
+        await _with_servers(bench, ResponseMode.CUT_IN_EVENT)
+        await bench.add_server("s2", ResponseMode.CUT_IN_EVENT)
         await bench.add_server("s3")
         answer = await bench.ask("/stream/1")
         assert answer.is_whole
-        assert answer.body == whole_stream()
-        resumed = [s.get(b"last-event-id") for x in bench.servers.values() for s in x.seen]
+        assert answer.body == make_stream_body()
+        resumed = [s.get(b"last-event-id") for x in bench.servers.values() for s in x.received]
         assert all(value in (None, b"2", b"4") for value in resumed)
 
     run_bench(scenario)
@@ -175,7 +175,7 @@
 
 def test_a_stream_that_cannot_go_on_is_cut_not_ended() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, Way.CUT_IN_EVENT)
+        await _with_servers(bench, ResponseMode.CUT_IN_EVENT)
         answer = await bench.ask("/stream/1")
         assert answer.status == 200
         assert not answer.is_whole
@@ -187,21 +187,21 @@
 def test_a_callers_own_position_is_passed_on() -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _with_servers(bench)
-        answer = await bench.ask("/stream/1", headers={"Last-Event-Id": str(EVENTS - 1)})
-        assert answer.body == make_event(EVENTS)
+        answer = await bench.ask("/stream/1", headers={"Last-Event-Id": str(EVENT_COUNT - 1)})
+        assert answer.body == make_event(EVENT_COUNT)
 
     run_bench(scenario)
 
 
 def test_a_caller_that_leaves_cancels_its_run() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, Way.HANG)
+        await _with_servers(bench, ResponseMode.HANG)
         server = bench.servers["s1"]
         connection = await bench.connect()
         asking = asyncio.ensure_future(bench.ask("/read/1", connection=connection))
-        await server.reached.wait()
+        await server.request_received.wait()
         connection.abort()
-        await server.left.wait()
+        await server.handler_cancelled.wait()
         assert len(server.cancelled) == 1
         asking.cancel()
         await bench.until(lambda: not any(u.in_flight for u in bench.gateway.state.upstreams))
@@ -211,7 +211,7 @@
 
 def test_a_route_s_time_ends_the_wait() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, Way.HANG)
+        await _with_servers(bench, ResponseMode.HANG)
         answer = await bench.ask("/read/1", left_ms=100)
         assert answer.status == 504
         assert answer.is_whole
@@ -229,7 +229,7 @@
         await bench.until(lambda: len(bench.gateway.state.upstreams.of_service("desk")) == 1)
         for _ in range(6):
             assert (await bench.ask("/read/1")).status == 200
-        assert bench.servers["s1"].seen == []
+        assert bench.servers["s1"].received == []
 
     run_bench(scenario)
 
@@ -238,11 +238,11 @@
     """Kept connections were served until the grace ended, in the middle of answers."""
 
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, Way.WELL, Way.HANG)
+        await _with_servers(bench, ResponseMode.NORMAL, ResponseMode.HANG)
         idle, busy = await bench.connect(), await bench.connect()
         assert (await bench.ask("/read/1", connection=idle)).status == 200
         asking = asyncio.ensure_future(bench.ask("/read/2", connection=busy, left_ms=2000))
-        await bench.until(lambda: len(bench.servers["s1"].seen) == 2)
+        await bench.until(lambda: len(bench.servers["s1"].received) == 2)
         bench.stopping.set()
         with pytest.raises(ConnectionError):
             await idle.read_head()
@@ -273,7 +273,7 @@
         assert too_long.status == 431
         assert (await bench.ask("/read/1", body=b"x" * 5000)).status == 413
         assert (await bench.ask("/read/1", headers={"X-Deadline-Ms": "soon"})).status == 200
-        assert len(bench.servers["s1"].seen) == 1
+        assert len(bench.servers["s1"].received) == 1
         assert (await bench.ask("/read/1")).status == 200
 
     run_bench(scenario)
@@ -300,12 +300,12 @@
     """It stayed in the list, and every request went there first, until it was unlisted."""
 
     async def scenario(bench: GatewayBench) -> None:
-        await _with_servers(bench, *[Way.OTHER_SERVER] * 9)
+        await _with_servers(bench, *[ResponseMode.OTHER_SERVER] * 9)
         assert (await bench.ask("/read/1")).status == 503
         await bench.add_server("s2")
         for number in range(4):
             assert (await bench.ask(f"/read/{number}")).status == 200
-        assert len(bench.servers["s1"].seen) == 1
+        assert len(bench.servers["s1"].received) == 1
 
     run_bench(scenario)
 
@@ -320,9 +320,9 @@
         address = bench.gateway.state.upstreams.find("s1").address  # type: ignore[union-attr]
         bench.list_server("s1", address, group=group, size=2)
         await bench.until(lambda: bench.gateway.state.upstreams.find("s1").group == "g")  # type: ignore[union-attr]
-        slow.pace_s = TIMEOUT_S / (EVENTS - 1)
+        slow.response_delay_s = TIMEOUT_S / (EVENT_COUNT - 1)
         asking = asyncio.ensure_future(bench.ask("/stream/1"))
-        await slow.reached.wait()
+        await slow.request_received.wait()
         other = await bench.add_server("s2")
         plan = StoredPlan(demand=(), slow_ranks=(0,))
         other_entry = bench.gateway.state.upstreams.find("s2")
@@ -331,7 +331,7 @@
         await bench.until(lambda: bench.gateway.state.upstreams.find("s2").group == "g")  # type: ignore[union-attr]
         bench.gateway._planners.note_plan("desk/g", plan)
         answer = await asking
-        assert answer.is_whole and answer.body == whole_stream()
+        assert answer.is_whole and answer.body == make_stream_body()
         assert other.runs == slow.runs
         # It is no fault of the slow rank's: nothing is ejected.
         assert all(u.ejected_until_s == 0 for u in bench.gateway.state.upstreams)
@@ -343,9 +343,9 @@
     async def scenario(bench: GatewayBench) -> None:
         await _with_servers(bench)
         server = bench.servers["s1"]
-        server.pace_s = 0.2
+        server.response_delay_s = 0.2
         asking = asyncio.ensure_future(bench.ask("/pay/1"))
-        await server.reached.wait()
+        await server.request_received.wait()
         assert all(not u.moves for u in bench.gateway.state.upstreams)
         assert (await asking).status == 200
 
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -13,14 +13,14 @@
 from standins.metadata import MetadataStandIn
 from standins.platform import (
     GatewayProcess,
-    ask,
-    list_servers,
     listen,
     make_configuration,
+    send_request,
     start_gateway,
-    wait_ready,
+    start_servers,
+    wait_until_ready,
 )
-from standins.server import ServerStandIn, Way, whole_stream
+from standins.server import ResponseMode, ServerStandIn, make_stream_body
 
 Scenario = Callable[[GatewayProcess, MetadataStandIn, list[ServerStandIn]], Awaitable[None]]
 
@@ -30,9 +30,9 @@
         store = MetadataStandIn()
         store.put("op/config", make_configuration())
         address = await listen(store.handle)
-        servers = await list_servers(store, ["s1", "s2"])
+        servers = await start_servers(store, ["s1", "s2"])
         async with start_gateway(address, "gw", directory) as gateway:
-            await wait_ready(gateway)
+            await wait_until_ready(gateway)
             await scenario(gateway, store, servers)
 
     asyncio.run(asyncio.wait_for(run(), 60))
@@ -53,11 +53,14 @@
     async def scenario(
         gateway: GatewayProcess, store: MetadataStandIn, servers: list[ServerStandIn]
     ) -> None:
-        assert await ask(gateway.http, "/stream/1", "r-stream") == (200, whole_stream())
+        assert await send_request(gateway.http, "/stream/1", "r-stream") == (
+            200,
+            make_stream_body(),
+        )
         for server in servers:
-            server.ways = [Way.CUT_UNANSWERED]
-        assert (await ask(gateway.http, "/pay/1", "r-lost"))[0] == 502
-        metrics = (await ask(gateway.metrics, "/metrics", "r", "GET"))[1].decode()
+            server.next_modes = [ResponseMode.CUT_UNANSWERED]
+        assert (await send_request(gateway.http, "/pay/1", "r-lost"))[0] == 502
+        metrics = (await send_request(gateway.metrics, "/metrics", "r", "GET"))[1].decode()
         assert 'dalehollow_requests_total{outcome="answered",reason="200"} 1' in metrics
         assert "dalehollow_first_piece_ms_count" in metrics
         assert "dalehollow_config_version 1" in metrics
@@ -88,7 +91,7 @@
         gateway.settings_path.write_text("{")
         gateway.process.send_signal(signal.SIGHUP)
         await _await_log(gateway, "event=reload_failed")
-        assert (await ask(gateway.http, "/status/1", "r-after"))[0] == 200
+        assert (await send_request(gateway.http, "/status/1", "r-after"))[0] == 200
         assert "dalehollow/members/gw" in store.items
         assert await gateway.stop() == 0
         assert "dalehollow/members/gw" not in store.items
--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -13,13 +13,13 @@
 from dalehollow.protocol.link import PeerLink
 from dalehollow.web import HttpClient
 from standins.hall import digest_key
-from standins.processes import Launcher, Running
+from standins.processes import Launcher, RunningProcess
 from tests.payment_bench import FAST, wait_for
 
 RANKS = 3
 
 
-def _make_config(sidecars: list[Running]) -> dict[str, Any]:
+def _make_config(sidecars: list[RunningProcess]) -> dict[str, Any]:
     names = [f"rank-{idx}" for idx in range(RANKS)]
     return {
         "deployment": "floor",
@@ -34,7 +34,7 @@
     }
 
 
-def _dump_group(sidecar: Running) -> dict[str, Any]:
+def _dump_group(sidecar: RunningProcess) -> dict[str, Any]:
     link = PeerLink(sidecar.control)
     try:
         reply = link.ask(Dump(), timeout_ms=2_000)
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -18,7 +18,7 @@
 from dalehollow.gateway.retries import RetryWindow
 from dalehollow.gateway.state import GatewayState
 from standins.platform import listen
-from standins.server import ServerStandIn, Way
+from standins.server import ResponseMode, ServerStandIn
 from tests import retry_fleet
 from tests.gateway_bench import (
     TIMEOUT_S,
@@ -45,12 +45,15 @@
 
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
-        await bench.add_server("s0", Way.REFUSE, slots=9)
-        await bench.add_server("s1", Way.REFUSE, slots=9)
+        await bench.add_server("s0", ResponseMode.REFUSE, slots=9)
+        await bench.add_server("s1", ResponseMode.REFUSE, slots=9)
         bench.gateway.state.retry_window("desk").rounding_offset = 0.0
         with caplog.at_level(logging.INFO):
             await bench.ask("/read/1")
-            bench.servers["s0"].ways, bench.servers["s1"].ways = [Way.REFUSE], [Way.REFUSE]
+            bench.servers["s0"].next_modes, bench.servers["s1"].next_modes = (
+                [ResponseMode.REFUSE],
+                [ResponseMode.REFUSE],
+            )
             await bench.ask("/read/2")
         state = bench.gateway.state
         assert state.metrics.counts()['retries{allowed="true",service="desk"}'] == 1
@@ -74,7 +77,7 @@
     An attempt is the first if no server that shares `arrivals` has received the request before.
     """
 
-    way: Way = Way.CUT_UNANSWERED
+    way: ResponseMode = ResponseMode.CUT_UNANSWERED
     # Number of arrivals by request ID, shared by all servers of a test.
     arrivals: Counter[str] = field(default_factory=Counter)
 
@@ -82,11 +85,13 @@
         """Count the arrival and fail it if it is the first of its request."""
         request_id = (request.get(b"x-request-id") or b"").decode()
         self.arrivals[request_id] += 1
-        self.ways = [self.way] if self.arrivals[request_id] == 1 else []
+        self.next_modes = [self.way] if self.arrivals[request_id] == 1 else []
         await super().handle(caller, request)
 
 
-async def _add_failing_servers(bench: GatewayBench, way: Way = Way.CUT_UNANSWERED) -> Counter[str]:
+async def _add_failing_servers(
+    bench: GatewayBench, way: ResponseMode = ResponseMode.CUT_UNANSWERED
+) -> Counter[str]:
     """Add two servers that fail first attempts; return their arrivals by request ID."""
     arrivals: Counter[str] = Counter()
     for name in ("s0", "s1"):
@@ -198,8 +203,10 @@
     assert window.count_available(110.0) == 18
 
 
-@pytest.mark.parametrize("way", [Way.CUT_UNANSWERED, Way.ERROR, Way.REFUSE])
-def test_each_retry_takes_one_from_the_budget(way: Way) -> None:
+@pytest.mark.parametrize(
+    "way", [ResponseMode.CUT_UNANSWERED, ResponseMode.ERROR, ResponseMode.REFUSE]
+)
+def test_each_retry_takes_one_from_the_budget(way: ResponseMode) -> None:
     """Guards against a retry after a 5xx answer that takes two, or ends in 502 for lack of one."""
 
     async def scenario(bench: GatewayBench) -> None:
@@ -209,7 +216,11 @@
         bench.gateway.state.retry_window("desk").rounding_offset = 0.0
         statuses = Counter([(await bench.ask("/read/1")).status for _ in range(60)])
         assert arrivals.total() - len(arrivals) == statuses[200] == 21
-        failed_status = {Way.CUT_UNANSWERED: 502, Way.ERROR: 500, Way.REFUSE: 503}[way]
+        failed_status = {
+            ResponseMode.CUT_UNANSWERED: 502,
+            ResponseMode.ERROR: 500,
+            ResponseMode.REFUSE: 503,
+        }[way]
         assert statuses[failed_status] == 39
 
     run_bench(scenario, retry_extra=20.0, gateways_expected=1, retry_window_ms=600_000)
@@ -230,10 +241,10 @@
 
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
-        await bench.add_server("s0", Way.HANG, slots=1)
+        await bench.add_server("s0", ResponseMode.HANG, slots=1)
         hanging = asyncio.ensure_future(bench.ask("/read/1"))
-        await bench.servers["s0"].reached.wait()
-        await bench.add_server("s1", Way.REFUSE, slots=1)
+        await bench.servers["s0"].request_received.wait()
+        await bench.add_server("s1", ResponseMode.REFUSE, slots=1)
         assert (await bench.ask("/read/2", left_ms=200)).status == 503
         assert bench.gateway.state.metrics.counts()['retries{allowed="true",service="desk"}'] == 1
         assert bench.gateway.state.describe_retries()["desk"]["retries"] == 0
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -166,12 +166,12 @@
         store.put("servers/a", _make_entry())
         await _wait_until(lambda: "a" in recorded.upstreams)
         store.fault = "silent"
-        await _wait_until(lambda: len(store.unheard) >= 3)
-        assert all("waitMs=10" in target for target in store.unheard[1:])
+        await _wait_until(lambda: len(store.unanswered_targets) >= 3)
+        assert all("waitMs=10" in target for target in store.unanswered_targets[1:])
         store.put("servers/b", _make_entry())
         store.fault = "none"
         await _wait_until(lambda: "b" in recorded.upstreams)
-        await _wait_until(lambda: store.waits_ms[-1] == 200)
+        await _wait_until(lambda: store.watch_waits_ms[-1] == 200)
 
     _run(scenario)
 
@@ -205,7 +205,7 @@
         store.fault = "busy"
         store.delete("servers/a")
         store.put("servers/b", _make_entry())
-        store.forget_history()
+        store.discard_history()
         store.fault = "none"
         await _wait_until(lambda: set(recorded.upstreams) == {"b"})
 
@@ -393,7 +393,7 @@
 
     async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         first = Session(address, "a", MEMBER)
-        store.take_copy()
+        store.back_up()
         assert await first.acquire_duty("desk")
         fence = first.fence("desk")
         store.restore()
@@ -410,7 +410,7 @@
     async def scenario(store: MetadataStandIn, address: str, recorded: _Recorded) -> None:
         store.put("op/config", msgspec.json.encode(make_config(3)))
         await _wait_until(lambda: bool(recorded.tables))
-        store.take_copy()
+        store.back_up()
         store.put("op/config", msgspec.json.encode(make_config(4)))
         for number in range(5):
             store.put(f"dalehollow/plans/{number}", b"{}")
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -29,7 +29,7 @@
 
 async def _restore(world: HallWorld) -> None:
     """Write for a while, and have the store go away and come back without what was written."""
-    world.store.take_copy()
+    world.store.back_up()
     for number in range(LOST_WRITES):
         world.store.put("dalehollow/plans/desk", b'{"demand": [[%d]]}' % number)
         await asyncio.sleep(LOST_S / LOST_WRITES)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -94,7 +94,7 @@
     """Stall a rank's engine at the step, and resume it later."""
 
     def stall(call: Callable[[], object]) -> object:
-        bench.group.stall(1, True)
+        bench.group.set_stalled(1, True)
         return call()
 
     fault = FaultAt(step, stall)  # type: ignore[arg-type]
@@ -104,10 +104,10 @@
     planner.start()
     if step is SwitchStep.RUN_ON:
         planner.join(30)
-        bench.group.stall(1, True)
+        bench.group.set_stalled(1, True)
     else:
         wait_for(fault.was_injected.is_set, f"{step} was reached")
-    bench.group.stall(1, False)
+    bench.group.set_stalled(1, False)
     planner.join(30)
     assert not planner.is_alive()
 
--- a/tests/test_upstream_leaves.py
+++ b/tests/test_upstream_leaves.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from standins.server import Way, whole_stream
+from standins.server import ResponseMode, make_stream_body
 from tests.gateway_bench import (
     GatewayBench,
     lapse_and_return,
@@ -25,30 +25,34 @@
 LEAVING = (b"server-leaving", b"1")
 
 
-async def _add_leaving_upstream(bench: GatewayBench, path: str, *ways: Way) -> None:
+async def _add_leaving_upstream(bench: GatewayBench, path: str, *ways: ResponseMode) -> None:
     """Add an upstream that announces in its answer to one request that it is leaving."""
     await bench.apply(make_config())
     leaving = await bench.add_server("s0", *ways)
-    leaving.says = [LEAVING]
+    leaving.extra_headers = [LEAVING]
     await bench.ask(path)
 
 
 async def _count_received(bench: GatewayBench) -> int:
-    before = len(bench.servers["s0"].seen)
+    before = len(bench.servers["s0"].received)
     for _ in range(REQUESTS):
         await bench.ask("/read/1")
-    return len(bench.servers["s0"].seen) - before
+    return len(bench.servers["s0"].received) - before
 
 
 def test_an_upstream_that_announces_leaving_gets_no_new_request() -> None:
-    answers = (("/read/0", Way.WELL), ("/stream/0", Way.WELL), ("/pay/0", Way.ERROR))
-    for path, way in (*answers, ("/read/0", Way.REFUSE)):
-
-        async def scenario(bench: GatewayBench, path: str = path, way: Way = way) -> None:
+    answers = (
+        ("/read/0", ResponseMode.NORMAL),
+        ("/stream/0", ResponseMode.NORMAL),
+        ("/pay/0", ResponseMode.ERROR),
+    )
+    for path, way in (*answers, ("/read/0", ResponseMode.REFUSE)):
+
+        async def scenario(bench: GatewayBench, path: str = path, way: ResponseMode = way) -> None:
             await _add_leaving_upstream(bench, path, way)
             await bench.add_server("s1")
             assert await _count_received(bench) == 0
-            assert len(bench.servers["s1"].seen) == REQUESTS
+            assert len(bench.servers["s1"].received) == REQUESTS
 
         run_bench(scenario)
 
@@ -80,7 +84,7 @@
 def test_a_restart_resets_an_announcement_of_leaving() -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _add_leaving_upstream(bench, "/read/0")
-        bench.servers["s0"].says = []
+        bench.servers["s0"].extra_headers = []
         bench.list_server("s0", str(bench.read_entry("s0")["address"]), born=7)
         await bench.until(lambda: bench.listed("s0").started_at_ms == 7)
         assert (await bench.ask("/read/1")).status == 200
@@ -92,14 +96,14 @@
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         leaving = await bench.add_server("s0")
-        leaving.pace_s = 0.02
+        leaving.response_delay_s = 0.02
         stream = asyncio.ensure_future(bench.ask("/stream/1"))
-        await leaving.reached.wait()
-        leaving.says = [LEAVING]
+        await leaving.request_received.wait()
+        leaving.extra_headers = [LEAVING]
         await bench.ask("/read/0")
         answer = await stream
-        assert answer.is_whole and answer.body == whole_stream()
-        assert len(leaving.seen) == 2
+        assert answer.is_whole and answer.body == make_stream_body()
+        assert len(leaving.received) == 2
 
     run_bench(scenario)
 
@@ -109,18 +113,18 @@
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         server = await bench.add_server("s0")
-        server.says = [(b"server-leaving", value)]
+        server.extra_headers = [(b"server-leaving", value)]
         await bench.ask("/read/0")
         assert await _count_received(bench) == REQUESTS
 
     run_bench(scenario)
 
 
-@pytest.mark.parametrize("way", [Way.OTHERS_REFUSAL_FIRST, Way.OTHER_SERVER])
-def test_headers_of_other_answers_are_ignored(way: Way) -> None:
+@pytest.mark.parametrize("way", [ResponseMode.OTHERS_REFUSAL_FIRST, ResponseMode.OTHER_SERVER])
+def test_headers_of_other_answers_are_ignored(way: ResponseMode) -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _add_leaving_upstream(bench, "/read/0", way)
-        bench.servers["s0"].says = []
+        bench.servers["s0"].extra_headers = []
         await bench.until(lambda: bench.gateway.state.upstreams.of_service("desk") != [])
         (upstream,) = bench.gateway.state.upstreams
         assert upstream.takes_requests(asyncio.get_running_loop().time())
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -16,7 +16,7 @@
 from dalehollow.aio import CallerConnection, CallerRequest, connect
 from soak.signal_promises import count_allowed, count_most
 from standins.platform import listen
-from standins.server import ServerStandIn, Way
+from standins.server import ResponseMode, ServerStandIn
 from tests.gateway_bench import (
     TIMEOUT_S,
     GatewayBench,
@@ -35,7 +35,7 @@
     """Record the arrival time of each request."""
 
     def __init__(self, limit: str) -> None:
-        super().__init__("s0", says=[(b"server-limit", limit.encode())])
+        super().__init__("s0", extra_headers=[(b"server-limit", limit.encode())])
         self.times_s: list[float] = []
 
     async def handle(self, caller: CallerConnection, request: CallerRequest) -> None:
@@ -101,8 +101,8 @@
     run_bench(scenario)
 
 
-@pytest.mark.parametrize("way", [Way.CUT_UNANSWERED, Way.OTHER_SERVER])
-def test_only_an_answer_without_a_limit_removes_it(way: Way) -> None:
+@pytest.mark.parametrize("way", [ResponseMode.CUT_UNANSWERED, ResponseMode.OTHER_SERVER])
+def test_only_an_answer_without_a_limit_removes_it(way: ResponseMode) -> None:
     """Guards against removing a limit after an attempt without an answer of the upstream."""
 
     async def scenario(bench: GatewayBench) -> None:
@@ -111,12 +111,12 @@
         (upstream,) = bench.gateway.state.upstreams
         await bench.ask("/open/1")
         assert upstream.reported_state.limit_per_s == 50.0
-        limited.ways = [way]
-        while limited.ways:
+        limited.next_modes = [way]
+        while limited.next_modes:
             # Tokens accrue over time.
             await bench.ask("/open/1")
         assert upstream.reported_state.limit_per_s == 50.0
-        limited.ways, limited.says = [], []
+        limited.next_modes, limited.extra_headers = [], []
         while (await bench.ask("/open/1")).status != 200:
             await asyncio.sleep(0.01)
         assert upstream.reported_state.limit_per_s is None
--- a/tests/test_upstream_rests.py
+++ b/tests/test_upstream_rests.py
@@ -16,7 +16,7 @@
 import pytest
 
 from dalehollow.gateway import upstream
-from standins.server import Way
+from standins.server import ResponseMode
 from tests.gateway_bench import (
     HOST,
     Answer,
@@ -35,8 +35,8 @@
 async def _add_upstreams(bench: GatewayBench, others: int, *, value: str = str(REST_S)) -> Answer:
     """Add upstreams of which the first refuses one request and requests a backoff."""
     await bench.apply(make_config())
-    backing_off = await bench.add_server("s0", Way.REFUSE)
-    backing_off.says = [(b"retry-after", value.encode())]
+    backing_off = await bench.add_server("s0", ResponseMode.REFUSE)
+    backing_off.extra_headers = [(b"retry-after", value.encode())]
     answer = await bench.ask("/read/0")
     for number in range(others):
         await bench.add_server(f"s{number + 1}")
@@ -54,7 +54,7 @@
             await _add_upstreams(bench, others)
             answers = await _ask_repeatedly(bench, path)
             assert [a.status for a in answers] == [200] * REQUESTS
-            assert len(bench.servers["s0"].seen) == 1
+            assert len(bench.servers["s0"].received) == 1
 
         run_bench(scenario)
 
@@ -64,7 +64,7 @@
         await _add_upstreams(bench, 0)
         answers = await _ask_repeatedly(bench)
         assert [a.status for a in answers] == [503] * REQUESTS
-        assert len(bench.servers["s0"].seen) == 1
+        assert len(bench.servers["s0"].received) == 1
         waits_s = [float(a.head.get(b"retry-after") or b"0") for a in answers]
         assert min(waits_s) > REST_S / 2
 
@@ -93,7 +93,7 @@
             await _add_upstreams(bench, 1)
             await update_list(bench)
             assert {a.status for a in await _ask_repeatedly(bench)} == {200}
-            assert len(bench.servers["s0"].seen) == 1
+            assert len(bench.servers["s0"].received) == 1
 
         run_bench(scenario)
 
@@ -117,7 +117,7 @@
         busy = await bench.add_server("s1", slots=1)
         bench.gateway.state.upstreams.adjust_others("s1", 1)
         assert (await bench.ask("/read/2", left_ms=60_000)).status == 200
-        assert busy.seen == []
+        assert busy.received == []
 
     run_bench(scenario)
 
@@ -125,11 +125,15 @@
 def test_the_longest_of_several_backoffs_in_an_answer_is_used() -> None:
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
-        backing_off = await bench.add_server("s0", Way.REFUSE)
-        backing_off.says = [(b"retry-after", b"0"), (b"retry-after", b"50"), (b"retry-after", b"x")]
+        backing_off = await bench.add_server("s0", ResponseMode.REFUSE)
+        backing_off.extra_headers = [
+            (b"retry-after", b"0"),
+            (b"retry-after", b"50"),
+            (b"retry-after", b"x"),
+        ]
         await bench.ask("/read/0")
         assert (await bench.ask("/read/1")).status == 503
-        assert len(backing_off.seen) == 1
+        assert len(backing_off.received) == 1
 
     run_bench(scenario)
 
@@ -143,14 +147,14 @@
     run_bench(scenario)
 
 
-@pytest.mark.parametrize("way", [Way.OTHERS_REFUSAL_FIRST, Way.OTHER_SERVER])
-def test_headers_of_other_answers_are_ignored(way: Way) -> None:
+@pytest.mark.parametrize("way", [ResponseMode.OTHERS_REFUSAL_FIRST, ResponseMode.OTHER_SERVER])
+def test_headers_of_other_answers_are_ignored(way: ResponseMode) -> None:
     """Guards against using the headers of answers to other requests or from other upstreams."""
 
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
         server = await bench.add_server("s0", way)
-        server.says = [(b"retry-after", b"50")]
+        server.extra_headers = [(b"retry-after", b"50")]
         await bench.ask("/read/0")
         (upstream,) = bench.gateway.state.upstreams
         assert upstream.backoff_left_s(asyncio.get_running_loop().time()) == 0.0
@@ -163,11 +167,11 @@
 
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
-        refusing = await bench.add_server("s0", *[Way.REFUSE] * (2 * REQUESTS))
+        refusing = await bench.add_server("s0", *[ResponseMode.REFUSE] * (2 * REQUESTS))
         serving = await bench.add_server("s1")
         assert {a.status for a in await _ask_repeatedly(bench)} == {200}
-        assert len(refusing.seen) == 1
-        assert len(serving.seen) == REQUESTS
+        assert len(refusing.received) == 1
+        assert len(serving.received) == REQUESTS
 
     with replaced(upstream, "MIN_EJECTION_S", 60.0), replaced(upstream, "MAX_EJECTION_S", 60.0):
         run_bench(scenario)
@@ -178,9 +182,9 @@
 
     async def scenario(bench: GatewayBench) -> None:
         await bench.apply(make_config())
-        refusing = await bench.add_server("s0", Way.REFUSE)
+        refusing = await bench.add_server("s0", ResponseMode.REFUSE)
         assert (await bench.ask("/read/0")).status == 503
         assert (await bench.ask("/read/1")).status == 200
-        assert len(refusing.seen) == 2
+        assert len(refusing.received) == 2
 
     run_bench(scenario)
