--- a/soak/faults.py
+++ b/soak/faults.py
@@ -15,17 +15,17 @@
 from soak.promises import CRASHING_ID
 from soak.proxy import Mode
 from soak.world import CRASHING_BODY, Cluster, Gateway
-from standins.server import Way
+from standins.server import ResponseMode
 
 FAILURE_WAYS = (
-    Way.ERROR,
-    Way.REFUSE,
-    Way.CUT_UNANSWERED,
-    Way.CUT_IN_EVENT,
-    Way.CUT_BODY,
-    Way.OTHERS_ANSWER_FIRST,
-    Way.SURPLUS,
-    Way.HANG,
+    ResponseMode.ERROR,
+    ResponseMode.REFUSE,
+    ResponseMode.CUT_UNANSWERED,
+    ResponseMode.CUT_IN_EVENT,
+    ResponseMode.CUT_BODY,
+    ResponseMode.OTHERS_ANSWER_FIRST,
+    ResponseMode.SURPLUS,
+    ResponseMode.HANG,
 )
 FAULT_MODES = (Mode.DELAY, Mode.RESET, Mode.SILENT, Mode.SILENT_TO_TARGET, Mode.SILENT_FROM_TARGET)
 STORE_FAULTS = ("busy", "silent", "lost")
@@ -195,7 +195,7 @@
 
 
 async def _discard_store_history(cluster: Cluster, fault: Fault) -> None:
-    cluster.store.forget_history()
+    cluster.store.discard_history()
 
 
 async def _expire_leases(cluster: Cluster, fault: Fault) -> None:
@@ -271,9 +271,12 @@
         return
     cluster.history.signalling_servers.add(server_name)
     server = cluster.servers[server_name]
-    server.says, server.is_refusing = [(name.encode(), value.encode())], name == "retry-after"
+    server.extra_headers, server.is_refusing = (
+        [(name.encode(), value.encode())],
+        name == "retry-after",
+    )
     await asyncio.sleep(duration_s)
-    server.says, server.is_refusing = [], False
+    server.extra_headers, server.is_refusing = [], False
     cluster.history.signalling_servers.discard(server_name)
 
 
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from standins.server import whole_stream
+from standins.server import make_stream_body
 
 CRASHING_ID = "crashing-"
 """Prefix of the IDs of requests that crash every server that starts them."""
@@ -132,7 +132,7 @@
                 "response matches request",
                 f"{request.request_id} got the response to {request.response_id!r}",
             )
-        expected = whole_stream() if request.kind == "stream" else PLAIN_BODY
+        expected = make_stream_body() if request.kind == "stream" else PLAIN_BODY
         if request.body != expected:
             yield Violation(
                 "complete response",
--- a/soak/world.py
+++ b/soak/world.py
@@ -24,7 +24,7 @@
 )
 from soak.proxy import Mode, Proxy
 from standins.platform import GatewayProcess, launch_gateway, listen
-from standins.server import ServerStandIn, Way
+from standins.server import ResponseMode, ServerStandIn
 
 ROUTE_HOST = "floor.example"
 API_KEY = "key-of-ana"
@@ -75,7 +75,7 @@
 
     history: RunHistory = field(default_factory=RunHistory)
     rng: random.Random = field(default_factory=random.Random)
-    failure_ways: Sequence[Way] = ()
+    failure_ways: Sequence[ResponseMode] = ()
     # Refuses all requests: gateways honor retry-after only in 503 responses.
     is_refusing: bool = False
 
@@ -85,11 +85,11 @@
         request_id = (request.get(b"x-request-id") or b"").decode()
         self.history.arrivals[self.incarnation].append(Arrival(now_s, request_id))
         if self.failure_ways and self.rng.random() < 0.5:
-            self.ways.append(self.rng.choice(self.failure_ways))
+            self.next_modes.append(self.rng.choice(self.failure_ways))
         if self.is_refusing:
-            self.ways = [Way.REFUSE]
+            self.next_modes = [ResponseMode.REFUSE]
         run_count = len(self.runs)
-        headers = () if self.failure_ways else tuple(self.says)
+        headers = () if self.failure_ways else tuple(self.extra_headers)
         try:
             await super().handle(caller, request)
             for name, value in headers:
@@ -200,8 +200,10 @@
         """Start a server behind a proxy and write its entry."""
         self._server_count += 1
         name = f"server-{self._server_count}"
-        server = SoakServer(name, pace_s=RESPONSE_DELAY_S, history=self.history, rng=self.rng)
-        server.crashed_by, server.on_crash = CRASHING_BODY, lambda: self._crash_server(name)
+        server = SoakServer(
+            name, response_delay_s=RESPONSE_DELAY_S, history=self.history, rng=self.rng
+        )
+        server.crash_body, server.on_crash = CRASHING_BODY, lambda: self._crash_server(name)
         proxy = Proxy(await listen(server.handle))
         await proxy.open()
         self.servers[name], self.proxies[name] = server, proxy
@@ -265,11 +267,11 @@
 
     async def _take_snapshots(self) -> None:
         while True:
-            self.store.take_copy()
+            self.store.back_up()
             await asyncio.sleep(SNAPSHOT_INTERVAL_S)
 
     async def _expire_leases(self) -> None:
         while True:
             await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             if self.store.fault == "none":
-                self.store.end_lapsed_leases()
+                self.store.end_expired_leases()
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -434,7 +434,7 @@
         while True:
             await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             if self.store.fault == "none":
-                self.store.end_lapsed_leases()
+                self.store.end_expired_leases()
 
     def _make_listener(self, gateway: SimulatedGateway) -> Listener:
         def on_table_read(table: RoutingTable) -> None:
--- a/tests/late_schedules.py
+++ b/tests/late_schedules.py
@@ -217,7 +217,7 @@
 
 
 async def _forget_history(world: HallWorld, name: str, rng: random.Random) -> None:
-    world.store.forget_history()
+    world.store.discard_history()
 
 
 async def _refuse_beyond_leases(world: HallWorld, name: str, rng: random.Random) -> None:
@@ -237,7 +237,7 @@
     """Stop the store and restore it from a copy that is some seconds old."""
     if world.store.fault != "none":
         return
-    world.store.take_copy()
+    world.store.back_up()
     await asyncio.sleep(rng.uniform(0.5, 4.0))
     world.store.fault = "busy"
     await asyncio.sleep(rng.uniform(0.2, 4.0))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,7 +8,7 @@
 
 from dalehollow.gateway import process
 from dalehollow.groups.ranks import StoredPlan
-from standins.server import EVENTS, Way, make_event, whole_stream
+from standins.server import EVENT_COUNT, ResponseMode, make_event, make_stream_body
 from tests.gateway_bench import (
     HOST,
     TIMEOUT_S,
@@ -19,7 +19,7 @@
 )
 
 
-async def _start_server(bench: GatewayBench, *ways: Way) -> None:
+async def _start_server(bench: GatewayBench, *ways: ResponseMode) -> None:
     await bench.apply(make_config())
     await bench.add_server("s1", *ways)
 
@@ -69,7 +69,7 @@
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench)
         await bench.apply(make_config(7))
-        bench.store.forget_history()
+        bench.store.discard_history()
         bench.store.put("op/config", b'{"version": "unreadable"}')
         calls = len(bench.store.calls)
         await bench.wait_until(lambda: len(bench.store.calls) > calls + 2)
@@ -93,7 +93,7 @@
         assert (
             await bench.send_request("/read/a%2Fb?q=%20", headers=sent_headers, body=b"hand")
         ).status == 200
-        seen = bench.servers["s1"].seen[0]
+        seen = bench.servers["s1"].received[0]
         assert seen.method == b"POST"
         assert seen.target == b"/read/a%2Fb?q=%20"
         assert seen.body == b"hand"
@@ -110,19 +110,21 @@
 @pytest.mark.parametrize(
     ("path", "way", "status", "runs"),
     [
-        ("/read/1", Way.REFUSE, 200, 1),
-        ("/read/1", Way.CUT_UNANSWERED, 200, 2),
-        ("/read/1", Way.CUT_BODY, 200, 2),
-        ("/read/1", Way.ERROR, 200, 2),
-        ("/pay/1", Way.REFUSE, 200, 1),
-        ("/pay/1", Way.CUT_UNANSWERED, 502, 1),
-        ("/pay/1", Way.CUT_BODY, 502, 1),
-        ("/pay/1", Way.ERROR, 500, 1),
-        ("/pay/1", Way.OTHERS_ANSWER_FIRST, 200, 1),
-        ("/read/1", Way.SURPLUS, 200, 1),
+        ("/read/1", ResponseMode.REFUSE, 200, 1),
+        ("/read/1", ResponseMode.CUT_UNANSWERED, 200, 2),
+        ("/read/1", ResponseMode.CUT_BODY, 200, 2),
+        ("/read/1", ResponseMode.ERROR, 200, 2),
+        ("/pay/1", ResponseMode.REFUSE, 200, 1),
+        ("/pay/1", ResponseMode.CUT_UNANSWERED, 502, 1),
+        ("/pay/1", ResponseMode.CUT_BODY, 502, 1),
+        ("/pay/1", ResponseMode.ERROR, 500, 1),
+        ("/pay/1", ResponseMode.OTHERS_ANSWER_FIRST, 200, 1),
+        ("/read/1", ResponseMode.SURPLUS, 200, 1),
     ],
 )
-def test_status_and_run_count_of_each_failure(path: str, way: Way, status: int, runs: int) -> None:
+def test_status_and_run_count_of_each_failure(
+    path: str, way: ResponseMode, status: int, runs: int
+) -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench, way)
         await bench.add_server("s2")
@@ -138,8 +140,8 @@
     run_bench(scenario)
 
 
-@pytest.mark.parametrize("way", [Way.REFUSE, Way.OTHER_SERVER])
-def test_refused_request_has_not_run_and_has_retry_after(way: Way) -> None:
+@pytest.mark.parametrize("way", [ResponseMode.REFUSE, ResponseMode.OTHER_SERVER])
+def test_refused_request_has_not_run_and_has_retry_after(way: ResponseMode) -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench, way, way, way)
         answer = await bench.send_request("/pay/1")
@@ -153,23 +155,25 @@
 
 def test_broken_group_is_not_retried_at_another_rank() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _start_server(bench, Way.REFUSE_BROKEN)
-        await bench.add_server("s2", Way.REFUSE_BROKEN)
+        await _start_server(bench, ResponseMode.REFUSE_BROKEN)
+        await bench.add_server("s2", ResponseMode.REFUSE_BROKEN)
         assert (await bench.send_request("/stream/1")).status == 503
-        assert sum(len(s.seen) for s in bench.servers.values()) == 1
+        assert sum(len(s.received) for s in bench.servers.values()) == 1
 
     run_bench(scenario)
 
 
 def test_interrupted_stream_resumes_at_another_server() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _start_server(bench, Way.CUT_IN_EVENT)
-        await bench.add_server("s2", Way.CUT_IN_EVENT)
+        await _start_server(bench, ResponseMode.CUT_IN_EVENT)
+        await bench.add_server("s2", ResponseMode.CUT_IN_EVENT)
         await bench.add_server("s3")
         answer = await bench.send_request("/stream/1")
         assert answer.is_whole
-        assert answer.body == whole_stream()
-        resume_positions = [s.get(b"last-event-id") for x in bench.servers.values() for s in x.seen]
+        assert answer.body == make_stream_body()
+        resume_positions = [
+            s.get(b"last-event-id") for x in bench.servers.values() for s in x.received
+        ]
         assert all(value in (None, b"2", b"4") for value in resume_positions)
 
     run_bench(scenario)
@@ -177,7 +181,7 @@
 
 def test_stream_that_cannot_resume_is_cut_off() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _start_server(bench, Way.CUT_IN_EVENT)
+        await _start_server(bench, ResponseMode.CUT_IN_EVENT)
         answer = await bench.send_request("/stream/1")
         assert answer.status == 200
         assert not answer.is_whole
@@ -189,21 +193,23 @@
 def test_last_event_id_of_the_caller_is_forwarded() -> None:
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench)
-        answer = await bench.send_request("/stream/1", headers={"Last-Event-Id": str(EVENTS - 1)})
-        assert answer.body == make_event(EVENTS)
+        answer = await bench.send_request(
+            "/stream/1", headers={"Last-Event-Id": str(EVENT_COUNT - 1)}
+        )
+        assert answer.body == make_event(EVENT_COUNT)
 
     run_bench(scenario)
 
 
 def test_disconnect_of_the_caller_cancels_its_run() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _start_server(bench, Way.HANG)
+        await _start_server(bench, ResponseMode.HANG)
         server = bench.servers["s1"]
         connection = await bench.connect()
         request_task = asyncio.ensure_future(bench.send_request("/read/1", connection=connection))
-        await server.reached.wait()
+        await server.request_received.wait()
         connection.abort()
-        await server.left.wait()
+        await server.handler_cancelled.wait()
         assert len(server.cancelled) == 1
         request_task.cancel()
         await bench.wait_until(lambda: not any(u.in_flight for u in bench.gateway.state.upstreams))
@@ -213,7 +219,7 @@
 
 def test_expired_deadline_is_answered_with_504() -> None:
     async def scenario(bench: GatewayBench) -> None:
-        await _start_server(bench, Way.HANG)
+        await _start_server(bench, ResponseMode.HANG)
         answer = await bench.send_request("/read/1", deadline_ms=100)
         assert answer.status == 504
         assert answer.is_whole
@@ -231,7 +237,7 @@
         await bench.wait_until(lambda: len(bench.gateway.state.upstreams.of_service("desk")) == 1)
         for _ in range(6):
             assert (await bench.send_request("/read/1")).status == 200
-        assert bench.servers["s1"].seen == []
+        assert bench.servers["s1"].received == []
 
     run_bench(scenario)
 
@@ -240,13 +246,13 @@
     """Guards against serving keep-alive connections until the grace period cuts their answers."""
 
     async def scenario(bench: GatewayBench) -> None:
-        await _start_server(bench, Way.WELL, Way.HANG)
+        await _start_server(bench, ResponseMode.NORMAL, ResponseMode.HANG)
         idle, busy = await bench.connect(), await bench.connect()
         assert (await bench.send_request("/read/1", connection=idle)).status == 200
         request_task = asyncio.ensure_future(
             bench.send_request("/read/2", connection=busy, deadline_ms=2000)
         )
-        await bench.wait_until(lambda: len(bench.servers["s1"].seen) == 2)
+        await bench.wait_until(lambda: len(bench.servers["s1"].received) == 2)
         bench.stopping.set()
         with pytest.raises(ConnectionError):
             await idle.read_head()
@@ -279,7 +285,7 @@
         assert (
             await bench.send_request("/read/1", headers={"X-Deadline-Ms": "soon"})
         ).status == 200
-        assert len(bench.servers["s1"].seen) == 1
+        assert len(bench.servers["s1"].received) == 1
         assert (await bench.send_request("/read/1")).status == 200
 
     run_bench(scenario)
@@ -306,12 +312,12 @@
     """Guards against trying such an address first for every request until it is unlisted."""
 
     async def scenario(bench: GatewayBench) -> None:
-        await _start_server(bench, *[Way.OTHER_SERVER] * 9)
+        await _start_server(bench, *[ResponseMode.OTHER_SERVER] * 9)
         assert (await bench.send_request("/read/1")).status == 503
         await bench.add_server("s2")
         for number in range(4):
             assert (await bench.send_request(f"/read/{number}")).status == 200
-        assert len(bench.servers["s1"].seen) == 1
+        assert len(bench.servers["s1"].received) == 1
 
     run_bench(scenario)
 
@@ -326,9 +332,9 @@
         address = bench.gateway.state.upstreams.find("s1").address  # type: ignore[union-attr]
         bench.list_server("s1", address, group=group, size=2)
         await bench.wait_until(lambda: bench.gateway.state.upstreams.find("s1").group == "g")  # type: ignore[union-attr]
-        slow_server.pace_s = TIMEOUT_S / (EVENTS - 1)
+        slow_server.response_delay_s = TIMEOUT_S / (EVENT_COUNT - 1)
         request_task = asyncio.ensure_future(bench.send_request("/stream/1"))
-        await slow_server.reached.wait()
+        await slow_server.request_received.wait()
         other_server = await bench.add_server("s2")
         plan = StoredPlan(demand=(), slow_ranks=(0,))
         other_entry = bench.gateway.state.upstreams.find("s2")
@@ -337,7 +343,7 @@
         await bench.wait_until(lambda: bench.gateway.state.upstreams.find("s2").group == "g")  # type: ignore[union-attr]
         bench.gateway._planners.note_plan("desk/g", plan)
         answer = await request_task
-        assert answer.is_whole and answer.body == whole_stream()
+        assert answer.is_whole and answer.body == make_stream_body()
         assert other_server.runs == slow_server.runs
         # Slowness is no failure of the upstream, so none is ejected.
         assert all(u.ejected_until_s == 0 for u in bench.gateway.state.upstreams)
@@ -349,9 +355,9 @@
     async def scenario(bench: GatewayBench) -> None:
         await _start_server(bench)
         server = bench.servers["s1"]
-        server.pace_s = 0.2
+        server.response_delay_s = 0.2
         request_task = asyncio.ensure_future(bench.send_request("/pay/1"))
-        await server.reached.wait()
+        await server.request_received.wait()
         assert all(not u.moves for u in bench.gateway.state.upstreams)
         assert (await request_task).status == 200
 
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -29,7 +29,7 @@
 
 async def _restore_store(world: HallWorld) -> None:
     """Write for a time, then stop the store and restore it without these writes."""
-    world.store.take_copy()
+    world.store.back_up()
     for number in range(LOST_WRITE_COUNT):
         world.store.put("dalehollow/plans/desk", b'{"demand": [[%d]]}' % number)
         await asyncio.sleep(LOST_WRITES_S / LOST_WRITE_COUNT)
