--- a/dalehollow/entry/attempt.py
+++ b/dalehollow/entry/attempt.py
@@ -51,7 +51,7 @@
         view.note_success()
         report = parse_load(tried.ok_value.headers.get(hdr.LOAD))
         if report is not None:
-            view.take_report(report, now_s)
+            view.apply_report(report, now_s)
         return tried
 
     def call_address(self, job: Job, address: str, *, is_direct: bool) -> Result[Answer, Failure]:
--- a/dalehollow/entry/pool.py
+++ b/dalehollow/entry/pool.py
@@ -101,7 +101,7 @@
         if view is None:
             return
         report = LoadReport(reply.running, reply.waiting, reply.slots, reply.service_ms)
-        view.take_report(report, self._clock())
+        view.apply_report(report, self._clock())
         view.mark_leaving(reply.is_leaving, reply.incarnation_ms)
 
     def set_listed_leaving(self, leaving: frozenset[str]) -> None:
--- a/dalehollow/gateway/admission.py
+++ b/dalehollow/gateway/admission.py
@@ -26,7 +26,7 @@
 """Longest wait of a caller retry. Callers of streams disconnect after 2 s, and under full load the
 first event takes up to 1 s."""
 CALLER_RETRY_TIME_LEFT_SHARE = 0.96
-"""A request is taken for a caller retry if its remaining time is less than this share of the
+"""A request counts as a caller retry if its remaining time is less than this share of the
 longest remaining time seen on its route."""
 PRIORITY_OFFSET_S = 0.025
 """Offset added to the arrival time for each priority level when the queue is ordered. Urgent
--- a/dalehollow/membership/view.py
+++ b/dalehollow/membership/view.py
@@ -35,7 +35,7 @@
     _backoff_until_s: dict[str, float] = field(default_factory=dict)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
-    def take_report(self, report: LoadReport, now_s: float) -> None:
+    def apply_report(self, report: LoadReport, now_s: float) -> None:
         """Replace the load report, which includes all requests sent before the upstream replied."""
         with self._lock:
             self.is_silent = False
--- a/dalehollow/platform/follow.py
+++ b/dalehollow/platform/follow.py
@@ -127,7 +127,7 @@
         )
         self._was_watch_slow = self._must_read_items = False
         self._feed.contact.note_answered()
-        self._items.take_all(result.changes, result.revision)
+        self._items.apply_snapshot(result.changes, result.revision)
         self._feed.note_read(0, result.changes, result.revision)
 
     async def _watch(self) -> None:
@@ -139,7 +139,7 @@
         finally:
             self._was_watch_slow = self._store.transfer_s > SLOW_RESPONSE_S
         self._feed.contact.note_answered()
-        self._items.take_changes(self._feed.select_fresh(result.changes))
+        self._items.apply_changes(self._feed.select_fresh(result.changes))
         self._feed.note_read(after, result.changes, result.revision)
         if result.changes:
             await asyncio.sleep(BATCH_WINDOW_S)
--- a/dalehollow/platform/items.py
+++ b/dalehollow/platform/items.py
@@ -75,8 +75,8 @@
         """Create the tracker; `feed` supplies store changes relayed by other gateways."""
         self._listener = listener
         self._feed = feed
-        feed.on_changes = self.take_changes
-        feed.on_snapshot = self.take_all
+        feed.on_changes = self.apply_changes
+        feed.on_snapshot = self.apply_snapshot
         feed.contact.on_expiry_update = self._drop_expired
         self._known: set[str] = set()
         # Start time of each known upstream, and the upstreams that are gone.
@@ -87,17 +87,17 @@
         self._maybe_expired: set[str] = set()
         self._expiry_timer: asyncio.TimerHandle | None = None
 
-    def take_all(self, changes: tuple[Change, ...], revision: int) -> None:
+    def apply_snapshot(self, changes: tuple[Change, ...], revision: int) -> None:
         """Apply a full read; known keys missing from it are gone unless changed later."""
         self._feed.contact.note_era(read_era(revision))
-        self.take_changes(self._feed.select_fresh(changes))
+        self.apply_changes(self._feed.select_fresh(changes))
         present = {change.key for change in changes}
         for key in self._known - present:
             if self._feed.newest_revision(key) <= revision:
                 self._feed.note_missing(key, revision)
                 self._note_missing(key, revision)
 
-    def take_changes(self, changes: tuple[Change, ...]) -> None:
+    def apply_changes(self, changes: tuple[Change, ...]) -> None:
         """Apply single changes, each a complete value or a deletion."""
         for era in {read_era(change.revision) for change in changes}:
             self._feed.contact.note_era(era)
@@ -105,11 +105,11 @@
             if change.value is None:
                 self._note_missing(change.key, change.revision)
             elif change.key == CONFIG_KEY:
-                self._take_config(change, change.value)
+                self._apply_config(change, change.value)
             else:
-                self._take_item(change, change.value)
+                self._apply_item(change, change.value)
 
-    def _take_config(self, change: Change, value: bytes) -> None:
+    def _apply_config(self, change: Change, value: bytes) -> None:
         try:
             table = decode_config(value)
         except ValueError as exc:
@@ -117,11 +117,11 @@
             return
         self._listener.on_table(table)
 
-    def _take_item(self, change: Change, value: bytes) -> None:
+    def _apply_item(self, change: Change, value: bytes) -> None:
         key = change.key
         try:
             if key.startswith(UPSTREAM_PREFIX):
-                self._take_upstream(change, value)
+                self._apply_upstream(change, value)
             elif key.startswith(PLAN_PREFIX):
                 plan = msgspec.json.decode(value, type=StoredPlan)
                 self._listener.on_plan(key.removeprefix(PLAN_PREFIX), plan)
@@ -132,7 +132,7 @@
             # An invalid entry describes nothing, whatever it described before.
             self._note_missing(key, change.revision)
 
-    def _take_upstream(self, change: Change, value: bytes) -> None:
+    def _apply_upstream(self, change: Change, value: bytes) -> None:
         listed = decode_upstream(change.key, value)
         self._known.add(change.key)
         if self._is_held_back(change, listed):
@@ -157,7 +157,7 @@
             return False
         log_event(_LOG, "upstream_restored", key=change.key, waits_s=RESTORED_ENTRY_GRACE_S)
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(RESTORED_ENTRY_GRACE_S, self.take_changes, (change,))
+        timer = loop.call_later(RESTORED_ENTRY_GRACE_S, self.apply_changes, (change,))
         self._restored[change.key] = _RestoredEntry(change, timer)
         return True
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -29,15 +29,15 @@
     copies: StoreCopies
     known: dict[str, bytes] = field(default_factory=dict)
 
-    def take(self, changes: tuple[Change, ...]) -> None:
+    def apply_changes(self, changes: tuple[Change, ...]) -> None:
         for change in changes:
             if change.value is None:
                 self.known.pop(change.key, None)
             else:
                 self.known[change.key] = change.value
 
-    def take_all(self, changes: tuple[Change, ...], revision: int) -> None:
-        self.take(self.feed.select_fresh(changes))
+    def apply_snapshot(self, changes: tuple[Change, ...], revision: int) -> None:
+        self.apply_changes(self.feed.select_fresh(changes))
         for key in set(self.known) - {change.key for change in changes}:
             if self.feed.newest_revision(key) <= revision:
                 self.feed.note_missing(key, revision)
@@ -46,9 +46,9 @@
     def read(self, after: int, changes: tuple[Change, ...], revision: int) -> None:
         """Apply a response of the store."""
         if after:
-            self.take(self.feed.select_fresh(changes))
+            self.apply_changes(self.feed.select_fresh(changes))
         else:
-            self.take_all(changes, revision)
+            self.apply_snapshot(changes, revision)
         self.feed.note_read(after, changes, revision)
 
 
@@ -56,7 +56,7 @@
     """Return a gateway that has read an empty store at `revision`, or nothing if it is 0."""
     feed = HallFeed("a", read_clock, random.Random(1), lambda changes: None)
     gateway = _Gateway(feed, StoreCopies(feed, random.Random(1), dial))
-    feed.on_changes, feed.on_snapshot = gateway.take, gateway.take_all
+    feed.on_changes, feed.on_snapshot = gateway.apply_changes, gateway.apply_snapshot
     if revision:
         gateway.read(0, (), revision)
     return gateway
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -75,7 +75,7 @@
 def test_a_load_report_ends_silence() -> None:
     view = make_views(1)[0]
     view.note_silence()
-    view.take_report(LoadReport(0, 0, 8, 1.0), 0.0)
+    view.apply_report(LoadReport(0, 0, 8, 1.0), 0.0)
     assert not view.is_silent
 
 
