--- a/dalehollow/entry/attempt.py
+++ b/dalehollow/entry/attempt.py
@@ -33,22 +33,22 @@
 
     def call_upstream(self, job: Job, view: UpstreamView) -> Result[Answer, Failure]:
         """Send a job to a known upstream, counting it as in flight until its response ends."""
-        view.note_sent()
+        view.record_sent()
         is_direct = view.upstream.control is None
         tried = self.call_address(job, view.upstream.http, is_direct=is_direct)
         now_s = read_clock()
         if isinstance(tried, Err):
-            view.note_done()
+            view.record_done()
             failure = tried.err_value
             if failure.rest_ms is not None:
                 view.start_backoff(job.priority, now_s + failure.rest_ms / _MS_PER_S)
             if failure.reason in (Reason.UPSTREAM_UNREACHABLE, Reason.UPSTREAM_FAILED):
                 is_unreachable = failure.reason is Reason.UPSTREAM_UNREACHABLE
-                view.note_failure(now_s, is_unreachable=is_unreachable)
+                view.record_failure(now_s, is_unreachable=is_unreachable)
             elif failure.reason is Reason.LEAVING:
                 view.is_leaving = True
             return tried
-        view.note_success()
+        view.record_success()
         report = parse_load(tried.ok_value.headers.get(hdr.LOAD))
         if report is not None:
             view.apply_report(report, now_s)
@@ -136,4 +136,4 @@
     finally:
         answer.close()
         if view is not None:
-            view.note_done()
+            view.record_done()
--- a/dalehollow/entry/process.py
+++ b/dalehollow/entry/process.py
@@ -243,7 +243,7 @@
         if isinstance(asked, Err):
             view = self.pool.find(name)
             if view is not None:
-                view.note_silence()
+                view.record_silence()
             return
         reply = asked.ok_value
         if isinstance(reply, HeartbeatReply):
--- a/dalehollow/gateway/admission.py
+++ b/dalehollow/gateway/admission.py
@@ -104,7 +104,7 @@
         self, request: AdmissionRequest, tried: Collection[str]
     ) -> Upstream | AdmissionRefusal:
         """Acquire a slot, waiting for one if necessary; it must be released with `release`."""
-        is_caller_retry = self._note_time_left(request)
+        is_caller_retry = self._record_time_left(request)
         if not self.upstreams.of_service(self.service):
             return AdmissionRefusal("no_upstream", self._retry_after_s(request))
         if request.expected_duration_s > request.time_left_s:
@@ -141,7 +141,7 @@
         self._completed_at_s = now_s
         self.grant()
 
-    def note_answer_latency(self, latency_s: float) -> None:
+    def record_answer_latency(self, latency_s: float) -> None:
         """Update the moving average of answer latency."""
         if not self._answer_latency_s:
             self._answer_latency_s = latency_s
@@ -261,7 +261,7 @@
             self._group_probed_at_s[upstream.listed.group_key] = self.clock()
         return upstream
 
-    def _note_time_left(self, request: AdmissionRequest) -> bool:
+    def _record_time_left(self, request: AdmissionRequest) -> bool:
         """Record a caller's remaining time and return whether the request is a caller retry."""
         max_s = max(request.caller_time_left_s, self._max_time_left_s.get(request.route, 0.0))
         self._max_time_left_s[request.route] = max_s
--- a/dalehollow/gateway/attempt.py
+++ b/dalehollow/gateway/attempt.py
@@ -99,7 +99,7 @@
         head_bytes = make_request_head(job, upstream, names, resume_after, loop.time())
         connection.send([head_bytes, job.request.body])
         head = await _read_own_head(connection, job, names)
-        _note_load(upstream, head, names, loop.time())
+        _record_load(upstream, head, names, loop.time())
         not_run = _read_not_run(head, names)
         if not_run is not None:
             return not_run
@@ -131,11 +131,11 @@
     return NotRun(f"refused_{head.status}", is_group_broken=is_broken, signals=signals)
 
 
-def _note_load(upstream: Upstream, head: AnswerHead, names: HeaderNames, now_s: float) -> None:
+def _record_load(upstream: Upstream, head: AnswerHead, names: HeaderNames, now_s: float) -> None:
     value = head.get(names.load)
     parts = value.split(b",") if value else []
     if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
-        upstream.note_reported_load(int(parts[0]) + int(parts[1]), now_s)
+        upstream.record_reported_load(int(parts[0]) + int(parts[1]), now_s)
 
 
 def _named_in_connection(value: bytes | None) -> frozenset[bytes]:
--- a/dalehollow/gateway/contact.py
+++ b/dalehollow/gateway/contact.py
@@ -45,7 +45,7 @@
         # Called when expired entries must be re-evaluated earlier than scheduled.
         self.on_expiry_update: Callable[[], None] = lambda: None
 
-    def note_answered(self, at_s: float | None = None) -> None:
+    def record_answered(self, at_s: float | None = None) -> None:
         """Record that the store answered this gateway now, or another one at `at_s`."""
         now_s = self._clock()
         at_s = now_s if at_s is None else min(at_s, now_s)
@@ -59,7 +59,7 @@
                 log_event(_LOG, "store_was_away", logging.WARNING, for_s=round(silence_s, 3))
         self._answered_at_s = at_s
 
-    def note_era(self, era: int, heard_s: float = 0.0) -> None:
+    def record_era(self, era: int, heard_s: float = 0.0) -> None:
         """Record an era of the store, first heard of by another gateway `heard_s` ago."""
         at_s = self._clock() - heard_s
         if era > self._era:
@@ -77,7 +77,7 @@
             # The peer does not know whether the store is up now.
             return
         now_s = self._clock()
-        self.note_answered(now_s - answer_age_s)
+        self.record_answered(now_s - answer_age_s)
         since_s = now_s - unbroken_s
         self._up_since_s = min(self._up_since_s, since_s)
         if since_s >= self._outage_ended_at_s:
--- a/dalehollow/gateway/crashes.py
+++ b/dalehollow/gateway/crashes.py
@@ -119,7 +119,7 @@
         # Time of the last successful answer to each request, the most recent last.
         self._known_good_at_s: dict[Fingerprint, float] = {}
 
-    def note_broken_attempt(
+    def record_broken_attempt(
         self, fingerprint: Callable[[], Fingerprint], upstream: Upstream
     ) -> None:
         """Record an attempt that ended without an answer, unless the upstream is leaving."""
@@ -131,13 +131,13 @@
         self._broken_attempts.append(_BrokenAttempt(fingerprint(), now_s, listed))
         newest = self._starts.get(listed.address)
         if newest is not None and now_s - newest[1] < RESTART_S and _is_restart(listed, newest[0]):
-            self._note_crash(listed)
+            self._record_crash(listed)
 
-    def note_port_closed(self, listed: ListedUpstream) -> None:
+    def record_port_closed(self, listed: ListedUpstream) -> None:
         """Record a crash of an upstream whose port refuses connections."""
-        self._note_crash(listed)
+        self._record_crash(listed)
 
-    def note_started(self, listed: ListedUpstream) -> None:
+    def record_started(self, listed: ListedUpstream) -> None:
         """Record the start of an upstream and the crash of any instance that it replaces."""
         now_s = self._clock()
         self._starts[listed.address] = (listed, now_s)
@@ -146,9 +146,9 @@
         ended = {_name_run(c.listed): c.listed for c in self._broken_attempts}
         for earlier in ended.values():
             if _is_restart(earlier, listed):
-                self._note_crash(earlier)
+                self._record_crash(earlier)
 
-    def note_answered(self, name: Fingerprint) -> None:
+    def record_answered(self, name: Fingerprint) -> None:
         """Record a successful answer to a request."""
         now_s = self._clock()
         self._known_good_at_s.pop(name, None)
@@ -212,7 +212,7 @@
                 self._add_crash(name, crash, now_s - age_s)
         self._discard_expired(now_s)
 
-    def _note_crash(self, listed: ListedUpstream) -> None:
+    def _record_crash(self, listed: ListedUpstream) -> None:
         """Suspect the requests whose connections broke when an upstream crashed."""
         crash = _name_run(listed)
         broken_attempts = [c for c in self._broken_attempts if _name_run(c.listed) == crash]
--- a/dalehollow/gateway/exchange.py
+++ b/dalehollow/gateway/exchange.py
@@ -46,7 +46,7 @@
     except TimeoutError:
         outcome.end_timed_out(state, caller, admitted, progress)
     except asyncio.CancelledError:
-        outcome.note_caller_left(state, admitted, progress)
+        outcome.record_caller_left(state, admitted, progress)
         raise
 
 
@@ -81,7 +81,7 @@
             self._progress.waited_s += self._clock() - began_s
             if isinstance(granted, AdmissionRefusal):
                 return self._give_up(granted.reason, granted.retry_after_s)
-            self._note_chosen(granted)
+            self._record_chosen(granted)
             self._state.on_change()
             try:
                 is_done = await self._run_attempt(granted)
@@ -95,7 +95,7 @@
                     "no_try_left", admission.suggest_retry_after_s(self._make_admission_request())
                 )
 
-    def _note_chosen(self, upstream: Upstream) -> None:
+    def _record_chosen(self, upstream: Upstream) -> None:
         progress = self._progress
         progress.tried.append(upstream.listed.incarnation)
         progress.load = upstream.load(self._clock())
@@ -140,11 +140,11 @@
             if isinstance(result, NotRun):
                 progress.may_have_run = may_have_run_before
             if result.signals is not None:
-                state.note_signals(upstream, result.signals)
+                state.apply_signals(upstream, result.signals)
             if move.is_requested and not isinstance(result, Answered):
-                self._note_attempt(upstream, "attempt_moved", str(move.reason))
+                self._record_attempt(upstream, "attempt_moved", str(move.reason))
                 return False
-            self._note_result(upstream, result)
+            self._record_result(upstream, result)
             if not isinstance(result, Answered):
                 return False
             return await self._relay_or_drop(upstream, result, move)
@@ -152,7 +152,7 @@
             # The caller disconnected or the deadline passed. A crashed upstream may merely have
             # stopped responding, so an attempt without any output still counts as broken off.
             if not progress.first_piece_at_s:
-                state.crashes.note_broken_attempt(self._make_fingerprint, upstream)
+                state.crashes.record_broken_attempt(self._make_fingerprint, upstream)
             raise
         finally:
             upstream.moves.discard(move)
@@ -170,7 +170,7 @@
         """Record a broken connection and check whether the upstream crashed."""
         if move.reason is MoveReason.SLOW_RANK:
             return
-        self._state.crashes.note_broken_attempt(self._make_fingerprint, upstream)
+        self._state.crashes.record_broken_attempt(self._make_fingerprint, upstream)
         await self._state.check_for_crash(upstream.listed)
 
     def _make_fingerprint(self) -> Fingerprint:
@@ -183,10 +183,10 @@
         except CutError as exc:
             await self._handle_broken_connection(upstream, move)
             if move.is_requested:
-                self._note_attempt(upstream, "attempt_moved", str(move.reason))
+                self._record_attempt(upstream, "attempt_moved", str(move.reason))
             else:
-                self._state.upstreams.note_failure(upstream, self._clock(), is_unreachable=False)
-                self._note_attempt(upstream, "answer_broken", str(exc))
+                self._state.upstreams.record_failure(upstream, self._clock(), is_unreachable=False)
+                self._record_attempt(upstream, "answer_broken", str(exc))
             self._progress.splitter.discard_partial()
             return False
         finally:
@@ -197,31 +197,31 @@
         route = self._job.route
         return route.is_repeatable and len(self._progress.tried) < route.max_attempts
 
-    def _note_result(self, upstream: Upstream, result: AttemptResult) -> None:
+    def _record_result(self, upstream: Upstream, result: AttemptResult) -> None:
         state, now_s = self._state, self._clock()
         if isinstance(result, Answered):
-            state.health.note_served(upstream.listed.group_key, now_s)
+            state.health.record_served(upstream.listed.group_key, now_s)
             return
-        self._note_attempt(upstream, "attempt_failed", result.reason)
+        self._record_attempt(upstream, "attempt_failed", result.reason)
         if isinstance(result, MayHaveRun):
-            state.upstreams.note_failure(upstream, now_s, is_unreachable=False)
+            state.upstreams.record_failure(upstream, now_s, is_unreachable=False)
             return
         if result.is_unreachable or result.is_other_upstream:
             # An answer with another identity means that the listed upstream is gone and that its
             # address has been reused.
-            state.upstreams.note_failure(upstream, now_s, is_unreachable=True)
+            state.upstreams.record_failure(upstream, now_s, is_unreachable=True)
         elif not result.is_group_broken:
             # An upstream that refuses immediately has no requests in flight, so least-loaded
             # selection would choose it again.
             upstream.eject(now_s)
         if result.is_group_broken:
-            self._note_group_broken(upstream.listed.group_key)
+            self._record_group_broken(upstream.listed.group_key)
 
-    def _note_group_broken(self, group_key: str) -> None:
+    def _record_group_broken(self, group_key: str) -> None:
         health = self._state.health
         if not health.is_broken(group_key):
             log_event(_LOG, "group_broken", group=group_key)
-        health.note_refused(group_key, self._clock())
+        health.record_refused(group_key, self._clock())
 
     async def _relay(self, upstream: Upstream, answered: Answered) -> bool:
         """Relay an answer; return False if the request is to be retried instead."""
@@ -233,24 +233,24 @@
             )
         if is_stream:
             await self._relay_stream(upstream, answered)
-            upstream.note_answer(failed=False)
+            upstream.record_answer(failed=False)
         else:
             body = await connection.read_body()
-            self._note_answer_latency()
-            if self._note_status(upstream, head) and self._take_retry(is_answered=True):
+            self._record_answer_latency()
+            if self._record_status(upstream, head) and self._take_retry(is_answered=True):
                 return False
             self._caller.send_whole(head.status, _end_to_end_headers(head), body)
         if head.status < _MIN_SERVER_ERROR_STATUS:
-            self._state.crashes.note_answered(self._make_fingerprint())
-        outcome.note_completed(self._state, self._job, self._progress, head.status)
+            self._state.crashes.record_answered(self._make_fingerprint())
+        outcome.record_completed(self._state, self._job, self._progress, head.status)
         return True
 
-    def _note_status(self, upstream: Upstream, head: AnswerHead) -> bool:
+    def _record_status(self, upstream: Upstream, head: AnswerHead) -> bool:
         """Record a complete answer as a success or failure; return whether it is a failure."""
         if head.status < _MIN_SERVER_ERROR_STATUS:
-            upstream.note_answer(failed=False)
+            upstream.record_answer(failed=False)
             return False
-        self._state.upstreams.note_failure(upstream, self._clock(), is_unreachable=False)
+        self._state.upstreams.record_failure(upstream, self._clock(), is_unreachable=False)
         return True
 
     async def _relay_stream(self, upstream: Upstream, answered: Answered) -> None:
@@ -268,21 +268,21 @@
             if events:
                 now_s = self._clock()
                 if last_s is not None:
-                    self._note_pause(pass_times, now_s - last_s)
+                    self._record_pause(pass_times, now_s - last_s)
                 elif not self._progress.first_piece_at_s:
-                    outcome.note_first_piece(self._state, self._job, self._progress)
-                    self._note_answer_latency()
+                    outcome.record_first_piece(self._state, self._job, self._progress)
+                    self._record_answer_latency()
                 last_s = now_s
             await self._caller.send_piece(events)
         await self._caller.send_piece(splitter.flush())
         self._caller.end_stream()
 
-    def _note_answer_latency(self) -> None:
+    def _record_answer_latency(self) -> None:
         latency_s = self._clock() - self._sent_at_s
-        self._state.admission(self._job.service).note_answer_latency(latency_s)
+        self._state.admission(self._job.service).record_answer_latency(latency_s)
 
-    def _note_pause(self, pass_times: PassTimes, pause_s: float) -> None:
-        pass_times.note_pause(pause_s)
+    def _record_pause(self, pass_times: PassTimes, pause_s: float) -> None:
+        pass_times.record_pause(pause_s)
         self._progress.longest_pause_s = max(self._progress.longest_pause_s, pause_s)
 
     def _take_retry(self, *, is_answered: bool = False) -> bool:
@@ -319,10 +319,10 @@
                 retry_after_s=retry_after_s,
             )
 
-    def _note_attempt(self, upstream: Upstream, event: str, reason: str) -> None:
+    def _record_attempt(self, upstream: Upstream, event: str, reason: str) -> None:
         load = upstream.load(self._clock())
         backoff_left_s = self._progress.backoff_left_s
-        outcome.note_attempt(
+        outcome.record_attempt(
             self._state,
             self._job,
             upstream,
--- a/dalehollow/gateway/feed.py
+++ b/dalehollow/gateway/feed.py
@@ -100,7 +100,7 @@
         """Return whether no gateway of the hall with a smaller name was heard recently."""
         return self._clock() - self._predecessor_heard_at_s > RELAY_SILENT_S
 
-    def note_peer(self, name: str) -> None:
+    def record_peer(self, name: str) -> None:
         """Record that another gateway of the hall was heard."""
         if name < self._name:
             self._predecessor_heard_at_s = self._clock()
@@ -133,7 +133,7 @@
             return None
         return RelayState(self.revision, round(age_s, 3))
 
-    def note_read(self, after: int, changes: tuple[Change, ...], revision: int) -> None:
+    def record_read(self, after: int, changes: tuple[Change, ...], revision: int) -> None:
         """Record that the store returned all changes after `after` up to `revision`."""
         now_s = self._clock()
         self._read_at_s = self._confirmed_at_s = now_s
@@ -146,11 +146,11 @@
             for message in _split_changes(after, changes, revision):
                 self._send(message)
 
-    def note_unreachable(self) -> None:
+    def record_unreachable(self) -> None:
         """Stop relaying, so that a gateway that reaches the store takes over."""
         self._stop_relaying("store_lost")
 
-    def note_relay(self, sender: str, state: RelayState) -> None:
+    def record_relay(self, sender: str, state: RelayState) -> None:
         """Apply the state that another gateway reports as the relay."""
         if self._is_relay and self.relay_state() is not None:
             if sender > self._name:
@@ -222,7 +222,7 @@
         newer = (c for c in known if c.revision > after and (after or c.value is not None))
         return StoreChanges(after, self.revision, pack_changes(tuple(newer)))
 
-    def note_missing(self, key: str, revision: int) -> None:
+    def record_missing(self, key: str, revision: int) -> None:
         """Record that a key is absent from the complete set of items as of a revision."""
         self._newest_by_key[key] = Change(key, None, revision)
         self.update_count += 1
--- a/dalehollow/gateway/health.py
+++ b/dalehollow/gateway/health.py
@@ -17,10 +17,10 @@
         refused_at_s = self.refused_at_s.get(group_key)
         return refused_at_s is not None and refused_at_s > self.served_at_s.get(group_key, 0.0)
 
-    def note_served(self, group_key: str, at_s: float) -> None:
+    def record_served(self, group_key: str, at_s: float) -> None:
         """Record that a group answered a request."""
         self.served_at_s[group_key] = max(at_s, self.served_at_s.get(group_key, 0.0))
 
-    def note_refused(self, group_key: str, at_s: float) -> None:
+    def record_refused(self, group_key: str, at_s: float) -> None:
         """Record that a group refused a request as broken."""
         self.refused_at_s[group_key] = max(at_s, self.refused_at_s.get(group_key, 0.0))
--- a/dalehollow/gateway/limit_tokens.py
+++ b/dalehollow/gateway/limit_tokens.py
@@ -142,7 +142,7 @@
         self._addresses: dict[str, Address] = {}
         self._changed = asyncio.Event()
 
-    def note_limit(self, incarnation: str, hall: str, rate_per_s: float | None) -> None:
+    def record_limit(self, incarnation: str, hall: str, rate_per_s: float | None) -> None:
         """Update the limit of an upstream; None removes it."""
         if rate_per_s is None:
             self._limits.pop(incarnation, None)
--- a/dalehollow/gateway/members.py
+++ b/dalehollow/gateway/members.py
@@ -45,7 +45,7 @@
         """Return the current members."""
         return self._current
 
-    def note_listed(self, name: str, member: Member | None) -> None:
+    def record_listed(self, name: str, member: Member | None) -> None:
         """Record that the store lists a gateway, or no longer does (None)."""
         if member is not None:
             self._listed[name] = member
@@ -55,7 +55,7 @@
                 log_event(_LOG, "member_unlisted", name=name, heard_age_s=self._heard_age_s(name))
         self._update(name)
 
-    def note_heard(self, name: str, member: Member) -> None:
+    def record_heard(self, name: str, member: Member) -> None:
         """Record that a gateway was heard, with the address that it listens at."""
         if name not in self._current:
             log_event(_LOG, "member_heard", name=name, address=member.address)
--- a/dalehollow/gateway/outcome.py
+++ b/dalehollow/gateway/outcome.py
@@ -122,7 +122,7 @@
     caller.cut()
 
 
-def note_completed(state: GatewayState, job: Job, progress: Progress, status: int) -> None:
+def record_completed(state: GatewayState, job: Job, progress: Progress, status: int) -> None:
     """Record an upstream's answer that was relayed completely."""
     now_s = asyncio.get_running_loop().time()
     state.metrics.count("requests", outcome="answered", reason=str(status))
@@ -144,21 +144,21 @@
     return is_first_late or longest_ms > route.pause_objective_ms > 0
 
 
-def note_caller_left(state: GatewayState, job: Job, progress: Progress) -> None:
+def record_caller_left(state: GatewayState, job: Job, progress: Progress) -> None:
     """Record a caller that disconnected before its answer was complete."""
     now_s = asyncio.get_running_loop().time()
     state.metrics.count("requests", outcome="left", reason="caller_left")
     _log_end("caller_left", job, progress, after_ms=_ms_since(job, now_s))
 
 
-def note_first_piece(state: GatewayState, job: Job, progress: Progress) -> None:
+def record_first_piece(state: GatewayState, job: Job, progress: Progress) -> None:
     """Record the time of the first events of a stream."""
     progress.first_piece_at_s = asyncio.get_running_loop().time()
     first_ms = (progress.first_piece_at_s - job.began_at_s) * _MS_PER_S
     state.metrics.record_ms("first_piece", first_ms, service=job.service)
 
 
-def note_attempt(
+def record_attempt(
     state: GatewayState,
     job: Job,
     upstream: Upstream,
--- a/dalehollow/gateway/pass_times.py
+++ b/dalehollow/gateway/pass_times.py
@@ -44,7 +44,7 @@
     _settled_at_s: float = float("-inf")
     _usual_length: float | None = None
 
-    def note_pause(self, pause_s: float) -> None:
+    def record_pause(self, pause_s: float) -> None:
         """Record the pause between two pieces of one stream."""
         now_s = self.clock()
         relative = pause_s * _MS_PER_S / self.pass_ms(self.mean_batch())
--- a/dalehollow/gateway/planner.py
+++ b/dalehollow/gateway/planner.py
@@ -117,7 +117,7 @@
         """Create the demand window and the step clock."""
         self._window = DemandWindow(self.policy.memory)
         self._steps = StepClock(self.pass_times)
-        self.pass_times.on_slower = self._note_slower
+        self.pass_times.on_slower = self._record_slower
 
     def stop(self) -> None:
         """Stop planning; a switch in progress is completed, then the duty is released."""
@@ -167,18 +167,18 @@
             self._pressed_until_s = now_s + PRESSED_FOR_S
         return self.policy.pressed if now_s < self._pressed_until_s else self.policy.normal
 
-    def note_epoch(self, epoch: int) -> None:
+    def record_epoch(self, epoch: int) -> None:
         """Request a round now if the group has reopened, with its initial map."""
         if epoch != self._epoch:
             self._request_round()
 
-    def _note_slower(self) -> None:
+    def _record_slower(self) -> None:
         """Request a round: passes take longer than before with this map."""
         if not self._is_slower:
             self._is_slower = True
             self._wake.set()
 
-    def note_vacancy(self) -> None:
+    def record_vacancy(self) -> None:
         """Request a round now: the duty is vacant."""
         self._request_round()
 
@@ -268,7 +268,7 @@
         read = await asyncio.gather(*(self.port.read_counts(rank) for rank in self._sample))
         found = {r: c for r, c in zip(self._sample, read, strict=True) if c is not None}
         if found:
-            self._steps.note(max(c.step for c in found.values()))
+            self._steps.record(max(c.step for c in found.values()))
         return found
 
     async def _begin_epoch(self, epoch: int, fence: int) -> bool:
@@ -407,7 +407,7 @@
                 return outcome
             counts = await self.port.read_counts(ranks[0])
             if counts is not None:
-                self._steps.note(counts.step)
+                self._steps.record(counts.step)
         return outcome
 
     async def _prepare(self, rank: int, version: int, planned: GroupMap) -> OrderReply:
--- a/dalehollow/gateway/planners.py
+++ b/dalehollow/gateway/planners.py
@@ -53,25 +53,25 @@
         self.by_group[key] = self._make_planner(listed, experts)
         self.tasks.append(keep_running(f"planner-{key}", self.by_group[key].run))
 
-    def note_epoch(self, listed: ListedUpstream) -> None:
+    def record_epoch(self, listed: ListedUpstream) -> None:
         """Notify a group's planner of a new epoch."""
         if listed.group_key in self.by_group:
-            self.by_group[listed.group_key].note_epoch(listed.group_epoch)
+            self.by_group[listed.group_key].record_epoch(listed.group_epoch)
 
-    def note_plan(self, duty: str, plan: StoredPlan) -> None:
+    def record_plan(self, duty: str, plan: StoredPlan) -> None:
         """Apply a stored plan: the demand and the slow ranks that a group's map is based on."""
         # A duty has the key of its group.
-        self._state.upstreams.note_slow_ranks(duty, plan.slow_ranks)
+        self._state.upstreams.record_slow_ranks(duty, plan.slow_ranks)
         self._state.move_from_slow_ranks(duty)
         if duty in self.by_group:
             self.by_group[duty].set_stored_demand(plan.demand)
 
-    def note_holder(self, duty: str, holder: str | None) -> None:
+    def record_holder(self, duty: str, holder: str | None) -> None:
         """Record the holder of a duty, None if it is vacant."""
         if holder is None:
             self.holders.pop(duty, None)
             if duty in self.by_group:
-                self.by_group[duty].note_vacancy()
+                self.by_group[duty].record_vacancy()
         else:
             self.holders[duty] = holder
 
--- a/dalehollow/gateway/process.py
+++ b/dalehollow/gateway/process.py
@@ -67,7 +67,7 @@
                 gateways=settings.gateways_expected,
             ),
             connect_timeout_s=settings.connect_timeout_ms / _MS_PER_S,
-            crashes=CrashWatch(read_clock, lambda: self._reports.note_change()),
+            crashes=CrashWatch(read_clock, lambda: self._reports.schedule_report()),
             started_at_s=read_clock(),
         )
         # Bound addresses, valid once `listening` is set; port 0 in the settings picks a free port.
@@ -80,7 +80,7 @@
         self._callers: set[CallerConnection] = set()
         self._auxiliary_connections: set[CallerConnection] = set()
         self._tasks: list[asyncio.Task[None]] = []
-        self._members = Members(read_clock, self._note_member)
+        self._members = Members(read_clock, self._record_member)
         outage_s = settings.heartbeat_ms / _MS_PER_S * EXPIRY_HEARTBEATS
         self._feed = HallFeed(
             settings.name,
@@ -113,7 +113,7 @@
         )
         self._tokens = self._reports.tokens = self.state.upstreams.tokens = tokens
         self.state.describe_store = self._feed.describe
-        self.state.on_change = self._reports.note_change
+        self.state.on_change = self._reports.schedule_report
 
     async def run(self, stopping: asyncio.Event) -> None:
         """Serve until `stopping` is set, then finish requests in flight."""
@@ -173,8 +173,8 @@
             self._apply_upstream,
             state.upstreams.remove,
             self._apply_listed,
-            self._planners.note_holder,
-            self._planners.note_plan,
+            self._planners.record_holder,
+            self._planners.record_plan,
         )
         self._follower = Follower(
             self._settings.store, ALL_KEYS_PREFIX, listener, self._feed, self._era
@@ -230,27 +230,27 @@
         before = self.state.upstreams.find(listed.incarnation)
         self.state.upstreams.put(listed)
         if before is None or listed.started_at_ms > before.started_at_ms:
-            self.state.crashes.note_started(listed)
+            self.state.crashes.record_started(listed)
         self._planners.plan_group_of(listed)
         if not listed.group or before is None or before == listed:
             return
         now_s = asyncio.get_running_loop().time()
         is_new_epoch = listed.group_epoch > before.group_epoch
         if listed.group_is_open and is_new_epoch:
-            self.state.health.note_served(listed.group_key, now_s)
+            self.state.health.record_served(listed.group_key, now_s)
             self.state.grant_all()
-            self._planners.note_epoch(listed)
+            self._planners.record_epoch(listed)
         elif not listed.group_is_open and before.group_is_open:
-            self.state.health.note_refused(listed.group_key, now_s)
+            self.state.health.record_refused(listed.group_key, now_s)
 
     def _apply_listed(self, name: str, member: Member | None) -> None:
-        self._members.note_listed(name, member)
+        self._members.record_listed(name, member)
         if name == self._settings.name and member is None:
-            self._session.note_unlisted()
+            self._session.record_unlisted()
 
-    def _note_member(self, name: str, member: Member | None) -> None:
-        self._reports.note_member(name, member)
-        self.state.note_gateways(len(self._members.current))
+    def _record_member(self, name: str, member: Member | None) -> None:
+        self._reports.record_member(name, member)
+        self.state.record_gateways(len(self._members.current))
         log_event(
             _LOG,
             "member_gone" if member is None else "member_up",
--- a/dalehollow/gateway/reports.py
+++ b/dalehollow/gateway/reports.py
@@ -117,7 +117,7 @@
         self._health = health
         self._on_change = on_change
         self._feed = feed
-        feed.on_revision_advanced = self.note_change
+        feed.on_revision_advanced = self.schedule_report
         self._copies = copies
         self._members = members
         self._crashes = crashes
@@ -157,14 +157,14 @@
                 self.tokens.handle_token_grant(message)
         else:
             # A relay forwards responses of the store at once, so the store has just answered.
-            self._feed.contact.note_answered()
+            self._feed.contact.record_answered()
             self._feed.apply_changes(message)
 
     def error_received(self, exc: Exception) -> None:
         """Log an undelivered datagram; a peer that is gone is detected by its silence."""
         log_event(_LOG, "report_undelivered", logging.DEBUG, error=exc)
 
-    def note_member(self, name: str, member: Member | None) -> None:
+    def record_member(self, name: str, member: Member | None) -> None:
         """Add or update a gateway, or remove it if `member` is None."""
         self._hall_peers.pop(name, None)
         for hall in self._remote_halls.values():
@@ -183,7 +183,7 @@
                 self._remote_halls.setdefault(member.hall, _RemoteHall({})).members[name] = address
         self._changed.set()
 
-    def note_change(self) -> None:
+    def schedule_report(self) -> None:
         """Schedule a report."""
         self._changed.set()
 
@@ -229,13 +229,13 @@
         self._update_health(report.served_age_s, report.refused_age_s)
         now_s = asyncio.get_running_loop().time()
         for incarnation, (unknown, age_s) in report.unknown.items():
-            self._upstreams.note_untracked(incarnation, unknown, now_s - age_s)
+            self._upstreams.record_untracked(incarnation, unknown, now_s - age_s)
         self._update_limits(report.limits)
         self._crashes.merge_reported(report.suspects)
-        self._feed.note_peer(report.sender)
+        self._feed.record_peer(report.sender)
         self._record_view(report.view, self._hall_peers.get(report.sender))
         if report.relay is not None:
-            self._feed.note_relay(report.sender, report.relay)
+            self._feed.record_relay(report.sender, report.relay)
         if self._feed.relay_state() is not None:
             # The hall's total, which this relay reports to other halls, has changed too.
             self._changed.set()
@@ -268,14 +268,14 @@
     def _record_sender(self, name: str, hall: str, address: _Address) -> None:
         """Record the sender: a gateway listens at the port that it sends from."""
         if name:
-            self._members.note_heard(name, Member(f"{address[0]}:{address[1]}", hall))
+            self._members.record_heard(name, Member(f"{address[0]}:{address[1]}", hall))
 
     def _record_view(self, view: StoreView | None, address: _Address | None) -> None:
         """Record a peer's store state; it serves copies at the port of its datagrams."""
         if view is None:
             return
         if view.revision:
-            self._feed.contact.note_era(read_era(view.revision), view.era_heard_s)
+            self._feed.contact.record_era(read_era(view.revision), view.era_heard_s)
         self._feed.contact.record_peer_contact(view.answer_age_s, view.unbroken_s)
         if address is not None:
             self._copies.record_peer_revision(f"{address[0]}:{address[1]}", view.revision)
@@ -285,14 +285,16 @@
     ) -> None:
         now_s = asyncio.get_running_loop().time()
         for service, age_s in served_age_s.items():
-            self._health.note_served(service, now_s - age_s)
+            self._health.record_served(service, now_s - age_s)
         for service, age_s in refused_age_s.items():
-            self._health.note_refused(service, now_s - age_s)
+            self._health.record_refused(service, now_s - age_s)
 
     def _update_limits(self, limits: Mapping[str, Limit]) -> None:
         now_s = asyncio.get_running_loop().time()
         for incarnation, limit in limits.items():
-            self._upstreams.note_reported_limit(incarnation, limit.rate_per_s, now_s - limit.age_s)
+            self._upstreams.record_reported_limit(
+                incarnation, limit.rate_per_s, now_s - limit.age_s
+            )
 
     def _list_limits(self, now_s: float) -> dict[str, Limit]:
         """Return the limits of upstreams, and None for those whose limit ended recently."""
--- a/dalehollow/gateway/state.py
+++ b/dalehollow/gateway/state.py
@@ -96,7 +96,7 @@
             keys=len(table.keys),
         )
 
-    def note_gateways(self, count: int) -> None:
+    def record_gateways(self, count: int) -> None:
         """Divide the extra retries by the largest number of gateways seen at the same time."""
         self._max_gateways = max(self._max_gateways, count)
         for window in self._retries.values():
@@ -184,7 +184,7 @@
         ]
         return min(objectives_ms, default=0) / _MS_PER_S
 
-    def note_signals(self, upstream: Upstream, signals: Signals) -> None:
+    def apply_signals(self, upstream: Upstream, signals: Signals) -> None:
         """Apply the state reported by an upstream and reconsider all waiting requests."""
         loop = asyncio.get_running_loop()
         incarnation = upstream.listed.incarnation
@@ -197,7 +197,7 @@
             self.grant_all()
         has_limit = upstream.reported_state.limit_per_s is not None
         if (has_limit or signals.limit_per_s is not None) and not signals.is_limit_unusable:
-            self.upstreams.note_limit(upstream, signals.limit_per_s, loop.time())
+            self.upstreams.record_limit(upstream, signals.limit_per_s, loop.time())
             self.on_change()
         if signals.backoff_s:
             upstream.start_backoff(signals.backoff_s, loop.time())
@@ -217,7 +217,7 @@
             connection = await connect(listed.address, self.connect_timeout_s)
         except ConnectError as exc:
             if exc.is_refused:
-                self.crashes.note_port_closed(listed)
+                self.crashes.record_port_closed(listed)
             return
         connection.abort()
 
--- a/dalehollow/gateway/steps.py
+++ b/dalehollow/gateway/steps.py
@@ -35,7 +35,7 @@
         """Return the step length between the last two reads, a default before that."""
         return FALLBACK_STEP_S if self._measured_s is None else self._measured_s
 
-    def note(self, step: int) -> None:
+    def record(self, step: int) -> None:
         """Record the number of the last step that began."""
         now_s = asyncio.get_running_loop().time()
         self.is_standing_still = self._last is not None and step == self._last[1]
--- a/dalehollow/gateway/upstream.py
+++ b/dalehollow/gateway/upstream.py
@@ -101,14 +101,14 @@
         """Return the number of requests in flight from this and the other gateways."""
         return self.in_flight + max(0, self.others_in_flight)
 
-    def note_reported_load(self, reported: int, now_s: float) -> None:
+    def record_reported_load(self, reported: int, now_s: float) -> None:
         """Record the load reported in an answer.
 
         Requests that no gateway knows of were left behind by a gateway that was lost.
         """
-        self.note_untracked(max(0, reported - self.known_in_flight()), now_s)
+        self.record_untracked(max(0, reported - self.known_in_flight()), now_s)
 
-    def note_untracked(self, untracked: int, at_s: float) -> None:
+    def record_untracked(self, untracked: int, at_s: float) -> None:
         """Record the number of requests that no gateway knows of, unless a newer one is known."""
         if at_s > self.untracked_at_s:
             self.untracked, self.untracked_at_s = untracked, at_s
@@ -123,7 +123,7 @@
         """Return the remaining backoff, 0 if there is none."""
         return max(0.0, self.reported_state.backoff_until_s - now_s)
 
-    def note_answer(self, *, failed: bool) -> None:
+    def record_answer(self, *, failed: bool) -> None:
         """Record an answer, or a failure to answer, in the failure rate."""
         self._samples += 1
         self._failure_share += FAILURE_WEIGHT * (failed - self._failure_share)
--- a/dalehollow/gateway/upstreams.py
+++ b/dalehollow/gateway/upstreams.py
@@ -91,7 +91,7 @@
             state = self._reported_states[listed.incarnation] = ReportedState(listed.started_at_ms)
         return state
 
-    def note_limit(self, upstream: Upstream, limit_per_s: float | None, at_s: float) -> None:
+    def record_limit(self, upstream: Upstream, limit_per_s: float | None, at_s: float) -> None:
         """Record the rate limit set by an answer, None if the answer sets none."""
         state = upstream.reported_state
         if limit_per_s != state.limit_per_s:
@@ -101,7 +101,9 @@
             self._forward_limit(upstream)
         state.limit_reported_at_s = at_s
 
-    def note_reported_limit(self, incarnation: str, limit_per_s: float | None, at_s: float) -> None:
+    def record_reported_limit(
+        self, incarnation: str, limit_per_s: float | None, at_s: float
+    ) -> None:
         """Record a rate limit reported by another gateway if it is newer than the known one.
 
         The reported age does not include the transit time, so the limit must be newer by more
@@ -112,12 +114,12 @@
             known is not None
             and at_s > known.reported_state.limit_reported_at_s + MAX_REPORT_TRANSIT_S
         ):
-            self.note_limit(known, limit_per_s, at_s)
+            self.record_limit(known, limit_per_s, at_s)
 
     def _forward_limit(self, upstream: Upstream) -> None:
         if self.tokens is not None:
             listed = upstream.listed
-            self.tokens.note_limit(
+            self.tokens.record_limit(
                 listed.incarnation, listed.hall, upstream.reported_state.limit_per_s
             )
 
@@ -146,7 +148,7 @@
             self._drop_indexes(known.listed)
             log_event(_LOG, "upstream_gone", incarnation=incarnation)
             if self.tokens is not None:
-                self.tokens.note_limit(incarnation, known.listed.hall, None)
+                self.tokens.record_limit(incarnation, known.listed.hall, None)
             if len(self._reported_states) > len(self._known) + MAX_UNLISTED_STATES:
                 del self._reported_states[
                     next(name for name in self._reported_states if name not in self._known)
@@ -169,13 +171,13 @@
         """Return the keys of the rank groups of a service."""
         return {u.listed.group_key for u in self.of_service(service)}
 
-    def note_untracked(self, incarnation: str, untracked: int, at_s: float) -> None:
+    def record_untracked(self, incarnation: str, untracked: int, at_s: float) -> None:
         """Record the number of requests that no gateway knows of, as another gateway found it."""
         known = self._known.get(incarnation)
         if known is not None:
-            known.note_untracked(untracked, at_s)
+            known.record_untracked(untracked, at_s)
 
-    def note_slow_ranks(self, group_key: str, ranks: Collection[int]) -> None:
+    def record_slow_ranks(self, group_key: str, ranks: Collection[int]) -> None:
         """Record which ranks of a group are slow for reasons other than their load."""
         if frozenset(ranks) != self._slow_ranks.get(group_key, frozenset()):
             log_event(_LOG, "slow_ranks", group=group_key, ranks=",".join(map(str, ranks)))
@@ -289,12 +291,12 @@
         distance = 0.0 if upstream.listed.hall == self.hall else REMOTE_HALL_SLOTS
         return upstream.load(now_s) + distance / max(1, upstream.listed.slots)
 
-    def note_failure(self, upstream: Upstream, now_s: float, *, is_unreachable: bool) -> None:
+    def record_failure(self, upstream: Upstream, now_s: float, *, is_unreachable: bool) -> None:
         """Record a failure and eject the upstream if necessary.
 
         Unless it is unreachable, an upstream is only ejected while most others are eligible.
         """
-        upstream.note_answer(failed=True)
+        upstream.record_answer(failed=True)
         if not (is_unreachable or upstream.is_failing()):
             return
         peers = self.of_service(upstream.listed.service)
--- a/dalehollow/membership/view.py
+++ b/dalehollow/membership/view.py
@@ -43,7 +43,7 @@
             self.reported_at_s = now_s
             self._sent_since_report = 0
 
-    def note_silence(self) -> None:
+    def record_silence(self) -> None:
         """Mark the upstream silent after a heartbeat timeout, until its next load report."""
         self.is_silent = True
 
@@ -67,24 +67,24 @@
         with self._lock:
             return max(0.0, self._backoff_until_s.get(priority, 0.0) - now_s)
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Count a request that was sent."""
         with self._lock:
             self.in_flight += 1
             self._sent_since_report += 1
 
-    def note_done(self) -> None:
+    def record_done(self) -> None:
         """Count a request that has finished."""
         with self._lock:
             self.in_flight -= 1
             self._sent_since_report = max(0, self._sent_since_report - 1)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Reset the failure count and any ejection."""
         with self._lock:
             self._clear_failures()
 
-    def note_failure(self, now_s: float, *, is_unreachable: bool) -> None:
+    def record_failure(self, now_s: float, *, is_unreachable: bool) -> None:
         """Count a failure; a failed connection or repeated failures eject the upstream."""
         with self._lock:
             self._failures += 1
--- a/dalehollow/platform/follow.py
+++ b/dalehollow/platform/follow.py
@@ -90,13 +90,13 @@
                     await self._watch()
                 else:
                     await self._read_items()
-                self._note_reachable()
+                self._record_reachable()
             except HistoryGoneError as exc:
                 revision = format_revision(self._feed.revision)
                 log_event(_LOG, "store_history_gone", revision=revision, why=exc)
                 self._must_read_items = True
             except PlatformError as exc:
-                self._note_failure(exc)
+                self._record_failure(exc)
                 await asyncio.sleep(self._retry_delay_s())
 
     def _disconnect(self) -> None:
@@ -126,9 +126,9 @@
             revision=format_revision(self._feed.revision),
         )
         self._was_watch_slow = self._must_read_items = False
-        self._feed.contact.note_answered()
+        self._feed.contact.record_answered()
         self._items.apply_snapshot(result.changes, result.revision)
-        self._feed.note_read(0, result.changes, result.revision)
+        self._feed.record_read(0, result.changes, result.revision)
 
     async def _watch(self) -> None:
         after = self._feed.revision
@@ -138,13 +138,13 @@
             result = await self._store.watch(self._prefix, after, wait_s, timeout_s)
         finally:
             self._was_watch_slow = self._store.transfer_s > SLOW_RESPONSE_S
-        self._feed.contact.note_answered()
+        self._feed.contact.record_answered()
         self._items.apply_changes(self._feed.select_fresh(result.changes))
-        self._feed.note_read(after, result.changes, result.revision)
+        self._feed.record_read(after, result.changes, result.revision)
         if result.changes:
             await asyncio.sleep(BATCH_WINDOW_S)
 
-    def _note_reachable(self) -> None:
+    def _record_reachable(self) -> None:
         if not self._is_reachable:
             self._is_reachable = True
             log_event(
@@ -157,9 +157,9 @@
         self._failures = 0
         self._is_connection_confirmed = True
 
-    def _note_failure(self, exc: PlatformError) -> None:
+    def _record_failure(self, exc: PlatformError) -> None:
         self._failures += 1
-        self._feed.note_unreachable()
+        self._feed.record_unreachable()
         log_event(
             _LOG,
             "store_lost" if self._is_reachable else "store_still_lost",
--- a/dalehollow/platform/items.py
+++ b/dalehollow/platform/items.py
@@ -89,21 +89,21 @@
 
     def apply_snapshot(self, changes: tuple[Change, ...], revision: int) -> None:
         """Apply a full read; known keys missing from it are gone unless changed later."""
-        self._feed.contact.note_era(read_era(revision))
+        self._feed.contact.record_era(read_era(revision))
         self.apply_changes(self._feed.select_fresh(changes))
         present = {change.key for change in changes}
         for key in self._known - present:
             if self._feed.newest_revision(key) <= revision:
-                self._feed.note_missing(key, revision)
-                self._note_missing(key, revision)
+                self._feed.record_missing(key, revision)
+                self._handle_missing(key, revision)
 
     def apply_changes(self, changes: tuple[Change, ...]) -> None:
         """Apply single changes, each a complete value or a deletion."""
         for era in {read_era(change.revision) for change in changes}:
-            self._feed.contact.note_era(era)
+            self._feed.contact.record_era(era)
         for change in changes:
             if change.value is None:
-                self._note_missing(change.key, change.revision)
+                self._handle_missing(change.key, change.revision)
             elif change.key == CONFIG_KEY:
                 self._apply_config(change, change.value)
             else:
@@ -113,7 +113,7 @@
         try:
             table = decode_config(value)
         except ValueError as exc:
-            _note_unusable(change.key, exc)
+            _log_unusable(change.key, exc)
             return
         self._listener.on_table(table)
 
@@ -128,9 +128,9 @@
             elif self._report_gateway_key(key, value):
                 self._known.add(key)
         except ValueError as exc:
-            _note_unusable(key, exc)
+            _log_unusable(key, exc)
             # An invalid entry describes nothing, whatever it described before.
-            self._note_missing(key, change.revision)
+            self._handle_missing(key, change.revision)
 
     def _apply_upstream(self, change: Change, value: bytes) -> None:
         listed = decode_upstream(change.key, value)
@@ -161,7 +161,7 @@
         self._restored[change.key] = _RestoredEntry(change, timer)
         return True
 
-    def _note_missing(self, key: str, revision: int) -> None:
+    def _handle_missing(self, key: str, revision: int) -> None:
         """Drop a key, but wait first if an upstream entry may merely have expired in an outage."""
         if key not in self._known:
             return
@@ -220,5 +220,5 @@
         self._listener.on_upstream_gone(read_incarnation(key))
 
 
-def _note_unusable(key: str, exc: ValueError) -> None:
+def _log_unusable(key: str, exc: ValueError) -> None:
     log_event(_LOG, "store_item_unusable", logging.ERROR, key=key, error=exc)
--- a/dalehollow/platform/session.py
+++ b/dalehollow/platform/session.py
@@ -150,7 +150,7 @@
                     self._mark_unlisted("member_unconfirmed", str(exc))
             await self._pause(pause_s)
 
-    def note_unlisted(self) -> None:
+    def record_unlisted(self) -> None:
         """Register again after the entry vanished, possibly with the lease of a previous run."""
         if self._is_listed:
             self._mark_unlisted("member_removed")
--- a/soak/defects.py
+++ b/soak/defects.py
@@ -77,7 +77,7 @@
 
 def _hear_no_signals() -> None:
     """Leave aside what upstreams say of themselves in answers."""
-    GatewayState.note_signals = lambda *args: None  # type: ignore[method-assign]
+    GatewayState.apply_signals = lambda *args: None  # type: ignore[method-assign]
 
 
 def _forget_crashes() -> None:
--- a/tests/hall_world.py
+++ b/tests/hall_world.py
@@ -237,7 +237,7 @@
         feed = HallFeed(name, loop.time, rng, lambda changes: reports.send_to_hall(changes))
         copies = StoreCopies(feed, rng, lambda address, _: self.connect_peer(name, address))
         upstreams = UpstreamSet(rng, hall)
-        members = Members(loop.time, lambda name, member: reports.note_member(name, member))
+        members = Members(loop.time, lambda name, member: reports.record_member(name, member))
         reports = PeerReports(
             name,
             hall,
@@ -443,9 +443,9 @@
             gateway.gone_at_s.setdefault(incarnation, self.now_s())
 
         def take_member(name: str, member: Member | None) -> None:
-            gateway.members.note_listed(name, member)
+            gateway.members.record_listed(name, member)
             if name == gateway.name and member is None:
-                gateway.session.note_unlisted()
+                gateway.session.record_unlisted()
 
         return Listener(
             on_table=take_table,
--- a/tests/limit_world.py
+++ b/tests/limit_world.py
@@ -71,7 +71,7 @@
         crashes = CrashWatch(loop.time, lambda: None)
         self.state = GatewayState(HEADERS, rng, self.upstreams, limits, 1.0, crashes)
         feed = HallFeed(name, loop.time, rng, lambda changes: self.reports.send_to_hall(changes))
-        self.members = Members(loop.time, lambda n, m: self.reports.note_member(n, m))
+        self.members = Members(loop.time, lambda n, m: self.reports.record_member(n, m))
         self.reports = PeerReports(
             name,
             hall,
@@ -84,7 +84,7 @@
             members=self.members,
             crashes=crashes,
         )
-        self.state.on_change = self.reports.note_change
+        self.state.on_change = self.reports.schedule_report
         self.tokens = LimitTokens(
             name,
             hall,
@@ -130,7 +130,7 @@
         await asyncio.sleep(TRANSIT_S)
         if limit_per_s is not None:
             self.learned_at_s.setdefault(incarnation, loop.time())
-        self.state.note_signals(granted, Signals(limit_per_s=limit_per_s))
+        self.state.apply_signals(granted, Signals(limit_per_s=limit_per_s))
         admission.release(granted)
         self.served += 1
 
@@ -156,7 +156,7 @@
                 listed = ListedUpstream(name, SERVICE, name, server.hall, SLOTS, False)
                 gateway.upstreams.put(listed)
             for other in self.gateways.values():
-                gateway.members.note_listed(
+                gateway.members.record_listed(
                     other.name, Member(f"{other.name}:{other.port}", other.hall)
                 )
 
--- a/tests/retry_fleet.py
+++ b/tests/retry_fleet.py
@@ -168,7 +168,7 @@
         gateways_per_hall = self._size.gateways // self._size.halls
         for number, state in enumerate(self._states):
             sees_own_hall_only = is_isolated and number < gateways_per_hall
-            state.note_gateways(gateways_per_hall if sees_own_hall_only else len(self._states))
+            state.record_gateways(gateways_per_hall if sees_own_hall_only else len(self._states))
 
     def _send_request(self, at_s: float) -> None:
         """Send a request to a gateway, which may retry it if its first attempt fails."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -85,7 +85,7 @@
 def test_a_reported_load_occupies_slots_until_it_expires() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
         (upstream,) = bench.upstreams
-        upstream.note_reported_load(SLOTS, bench.now_s)
+        upstream.record_reported_load(SLOTS, bench.now_s)
         assert bench.upstreams.choose("desk", (), bench.now_s) is None
         bench.now_s += 2.5
         assert bench.upstreams.choose("desk", (), bench.now_s) is upstream
@@ -167,7 +167,7 @@
 
 def test_a_broken_group_is_probed_and_refuses_the_rest() -> None:
     async def scenario(bench: _AdmissionBench) -> None:
-        bench.health.note_refused("desk", bench.now_s)
+        bench.health.record_refused("desk", bench.now_s)
         probe, refused = await bench.acquire(), await bench.acquire()
         assert isinstance(probe, Upstream)
         assert isinstance(refused, AdmissionRefusal)
@@ -175,7 +175,7 @@
         assert refused.retry_after_s == pytest.approx(
             8.0 * admission_module.RETRY_AFTER_TIME_LEFT_SHARE
         )
-        bench.health.note_served("desk", bench.now_s + 0.1)
+        bench.health.record_served("desk", bench.now_s + 0.1)
         assert isinstance(await bench.acquire(), Upstream)
 
     _run(scenario)
@@ -189,12 +189,12 @@
             await bench.acquire()
         request = _make_request(objective_s=0.02)
         bench.admission._completion_interval_s = 0.001
-        bench.admission.note_answer_latency(0.03)
+        bench.admission.record_answer_latency(0.03)
         assert bench.admission._max_wait_s(request, False) == 0.0
         refused = await bench.acquire(objective_s=0.02)
         assert isinstance(refused, AdmissionRefusal) and refused.reason == "no_place_in_time"
         for _ in range(100):
-            bench.admission.note_answer_latency(0.005)
+            bench.admission.record_answer_latency(0.005)
         assert bench.admission._max_wait_s(request, False) == pytest.approx(0.015, abs=0.001)
 
     _run(scenario)
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -14,9 +14,9 @@
     """Return a contact that the store has answered for 10 s."""
     contact = StoreContact(clock, OUTAGE_S)
     for _ in range(10):
-        contact.note_answered()
+        contact.record_answered()
         clock.now_s += 1.0
-    contact.note_answered()
+    contact.record_answered()
     assert not contact.may_have_expired()
     return contact
 
@@ -31,12 +31,12 @@
     contact = _make_contact(clock)
     clock.now_s += silence_s
     assert contact.may_have_expired() is may_have_expired
-    contact.note_answered()
+    contact.record_answered()
     assert contact.may_have_expired() is may_have_expired
     # The grace counts from the end of the outage; later answers do not extend it.
     for _ in range(4):
         clock.now_s += EXPIRY_GRACE_S / 4 + 0.001
-        contact.note_answered()
+        contact.record_answered()
     assert not contact.may_have_expired()
 
 
@@ -46,7 +46,7 @@
     refuted = []
     contact.on_expiry_update = lambda: refuted.append(clock.now_s)
     clock.now_s += 5.0
-    contact.note_answered()
+    contact.record_answered()
     assert contact.may_have_expired()
     clock.now_s += 0.1
     contact.record_peer_contact(0.05, 100.0)
@@ -61,7 +61,7 @@
         clock.now_s += 0.25
         contact.record_peer_contact(0.1, 50.0)
         assert not contact.may_have_expired()
-    contact.note_answered()
+    contact.record_answered()
     assert not contact.may_have_expired()
 
 
@@ -72,7 +72,7 @@
     clock = ManualClock()
     contact = _make_contact(clock)
     clock.now_s += 5.0
-    contact.note_answered()
+    contact.record_answered()
     contact.record_peer_contact(answer_age_s, 100.0)
     assert contact.may_have_expired()
 
@@ -81,14 +81,14 @@
     clock = ManualClock()
     contact = StoreContact(clock, OUTAGE_S)
     assert contact.unbroken_s() == 0.0
-    contact.note_answered()
+    contact.record_answered()
     assert not contact.may_have_expired()
     clock.now_s += 1.0
     assert contact.unbroken_s() == 1.0
     # A peer must not take the short record of a new gateway as proof that there was no outage.
     other = _make_contact(clock)
     clock.now_s += 5.0
-    other.note_answered()
+    other.record_answered()
     other.record_peer_contact(0.0, 0.5)
     assert other.may_have_expired()
 
@@ -96,7 +96,7 @@
 def test_reported_uptime_does_not_grow_between_gateways() -> None:
     clock = ManualClock()
     first, second = StoreContact(clock, OUTAGE_S), StoreContact(clock, OUTAGE_S)
-    first.note_answered()
+    first.record_answered()
     begun_s = clock.now_s
     for step in range(1000):
         clock.now_s += 0.0004 + step % 3 * 0.0003
@@ -112,7 +112,7 @@
     updates = []
     contact.on_expiry_update = lambda: updates.append(contact.settles_in_s())
     clock.now_s += 6.0
-    contact.note_answered()
+    contact.record_answered()
     assert contact.settles_in_s() == EXPIRY_GRACE_S
     contact.record_peer_contact(0.1, 1.5)
     assert updates == [pytest.approx(EXPIRY_GRACE_S - 1.5)]
@@ -121,17 +121,17 @@
 def test_grace_after_restore_counts_from_first_gateway_to_hear_of_it() -> None:
     clock = ManualClock()
     contact = _make_contact(clock)
-    contact.note_era(1)
+    contact.record_era(1)
     assert not contact.may_have_expired()
-    contact.note_era(2)
+    contact.record_era(2)
     assert contact.may_have_expired()
-    contact.note_era(1, 100.0)
+    contact.record_era(1, 100.0)
     assert contact.may_have_expired()
-    contact.note_era(2, EXPIRY_GRACE_S)
+    contact.record_era(2, EXPIRY_GRACE_S)
     assert not contact.may_have_expired()
     # A gateway that starts in an era assumes no loss by the restore, and reports its age as 0.
     newcomer = StoreContact(clock, OUTAGE_S)
-    newcomer.note_answered()
-    newcomer.note_era(3)
+    newcomer.record_answered()
+    newcomer.record_era(3)
     assert not newcomer.may_have_expired()
     assert newcomer.era_heard_s() == 0.0
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -40,7 +40,7 @@
         self.apply_changes(self.feed.select_fresh(changes))
         for key in set(self.known) - {change.key for change in changes}:
             if self.feed.newest_revision(key) <= revision:
-                self.feed.note_missing(key, revision)
+                self.feed.record_missing(key, revision)
                 del self.known[key]
 
     def read(self, after: int, changes: tuple[Change, ...], revision: int) -> None:
@@ -49,7 +49,7 @@
             self.apply_changes(self.feed.select_fresh(changes))
         else:
             self.apply_snapshot(changes, revision)
-        self.feed.note_read(after, changes, revision)
+        self.feed.record_read(after, changes, revision)
 
 
 def _make_gateway(revision: int = 0, dial: copies_module.Dial = connect) -> _Gateway:
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -36,17 +36,17 @@
     def __init__(self) -> None:
         self.clock = ManualClock()
         self.change_count = 0
-        self.watch = CrashWatch(self.clock, self._note_change)
+        self.watch = CrashWatch(self.clock, self._record_change)
 
-    def _note_change(self) -> None:
+    def _record_change(self) -> None:
         self.change_count += 1
 
     def crash(self, number: int, *names: bytes) -> None:
         """Crash an upstream while some requests are in flight."""
         upstream = _upstream(number)
         for name in names:
-            self.watch.note_broken_attempt(lambda n=name: n, upstream)  # type: ignore[misc]
-        self.watch.note_started(_restart(upstream))
+            self.watch.record_broken_attempt(lambda n=name: n, upstream)  # type: ignore[misc]
+        self.watch.record_started(_restart(upstream))
 
     def count(self, name: bytes) -> int:
         suspicion = self.watch.export_suspicions().get(name)
@@ -73,7 +73,7 @@
 def test_a_broken_connection_alone_is_no_crash() -> None:
     bench = _CrashWatchBench()
     for number in range(5):
-        bench.watch.note_broken_attempt(lambda: CRASHING, _upstream(number))
+        bench.watch.record_broken_attempt(lambda: CRASHING, _upstream(number))
     assert bench.count(CRASHING) == 0
     assert bench.refused_s(CRASHING) == 0.0
 
@@ -83,9 +83,9 @@
     by_list, by_answer = _upstream(1, is_leaving=True), _upstream(2)
     by_answer.reported_state.is_leaving = True
     for upstream in (by_list, by_answer):
-        bench.watch.note_broken_attempt(lambda: CRASHING, upstream)
-        bench.watch.note_port_closed(upstream.listed)
-        bench.watch.note_started(_restart(upstream))
+        bench.watch.record_broken_attempt(lambda: CRASHING, upstream)
+        bench.watch.record_port_closed(upstream.listed)
+        bench.watch.record_started(_restart(upstream))
     assert bench.count(CRASHING) == 0
 
 
@@ -106,28 +106,28 @@
         bench, upstream = _CrashWatchBench(), _upstream()
         started = replace(upstream.listed, **changes)  # type: ignore[arg-type]
         if is_known_before:
-            bench.watch.note_started(started)
-        bench.watch.note_broken_attempt(lambda: CRASHING, upstream)
+            bench.watch.record_started(started)
+        bench.watch.record_broken_attempt(lambda: CRASHING, upstream)
         if not is_known_before:
-            bench.watch.note_started(started)
+            bench.watch.record_started(started)
         assert bench.count(CRASHING) == crashes
 
 
 def test_only_requests_broken_off_at_the_crash_are_suspected() -> None:
     bench, upstream = _CrashWatchBench(), _upstream()
-    bench.watch.note_broken_attempt(lambda: HARMLESS, upstream)
+    bench.watch.record_broken_attempt(lambda: HARMLESS, upstream)
     bench.clock.now_s += 5.0
-    bench.watch.note_broken_attempt(lambda: CRASHING, upstream)
-    bench.watch.note_port_closed(upstream.listed)
+    bench.watch.record_broken_attempt(lambda: CRASHING, upstream)
+    bench.watch.record_port_closed(upstream.listed)
     assert (bench.count(CRASHING), bench.count(HARMLESS)) == (1, 0)
 
 
 def test_old_broken_attempts_are_discarded() -> None:
     bench, upstream = _CrashWatchBench(), _upstream()
-    bench.watch.note_broken_attempt(lambda: CRASHING, upstream)
+    bench.watch.record_broken_attempt(lambda: CRASHING, upstream)
     bench.clock.now_s += crashes_module.RESTART_S + 1
-    bench.watch.note_broken_attempt(lambda: HARMLESS, _upstream(1))
-    bench.watch.note_started(_restart(upstream))
+    bench.watch.record_broken_attempt(lambda: HARMLESS, _upstream(1))
+    bench.watch.record_started(_restart(upstream))
     assert bench.count(CRASHING) == 0
 
 
@@ -135,9 +135,9 @@
     bench, other = _CrashWatchBench(), _CrashWatchBench()
     upstream = _upstream()
     for watch in (bench.watch, other.watch):
-        watch.note_broken_attempt(lambda: CRASHING, upstream)
-        watch.note_port_closed(upstream.listed)
-        watch.note_started(_restart(upstream))
+        watch.record_broken_attempt(lambda: CRASHING, upstream)
+        watch.record_port_closed(upstream.listed)
+        watch.record_started(_restart(upstream))
     for _ in range(3):
         bench.watch.merge_reported(other.watch.export_suspicions())
         other.watch.merge_reported(bench.watch.export_suspicions())
@@ -163,7 +163,7 @@
     before = bench.watch.export_suspicions()
     for gateway in (bench, other):
         gateway.clock.now_s += 1.0
-    bench.watch.note_answered(HARMLESS)
+    bench.watch.record_answered(HARMLESS)
     other.watch.merge_reported(bench.watch.export_suspicions())
     assert other.count(HARMLESS) == 0
     # An outdated report from a third gateway does not restore the cleared suspicion.
@@ -180,13 +180,13 @@
     for number in range(4):
         upstream = _upstream(number)
         for gateway in (bench, other):
-            gateway.watch.note_broken_attempt(lambda: HARMLESS, upstream)
-            gateway.watch.note_broken_attempt(lambda: CRASHING, upstream)
+            gateway.watch.record_broken_attempt(lambda: HARMLESS, upstream)
+            gateway.watch.record_broken_attempt(lambda: CRASHING, upstream)
         # Only one of the gateways sees it answered.
-        bench.watch.note_answered(HARMLESS)
+        bench.watch.record_answered(HARMLESS)
         for gateway in (bench, other):
             gateway.clock.now_s += 1.0
-            gateway.watch.note_started(_restart(upstream))
+            gateway.watch.record_started(_restart(upstream))
         bench.watch.merge_reported(other.watch.export_suspicions())
         other.watch.merge_reported(bench.watch.export_suspicions())
     assert (bench.count(CRASHING), other.count(CRASHING)) == (4, 4)
@@ -235,7 +235,7 @@
         bench.crash(number, HARMLESS)
     bench.clock.now_s += crashes_module.REFUSAL_S + 0.1
     assert bench.refused_s(HARMLESS) == 0.0
-    bench.watch.note_answered(HARMLESS)
+    bench.watch.record_answered(HARMLESS)
     assert bench.refused_s(HARMLESS) == 0.0
     assert bench.count(HARMLESS) == 0
 
--- a/tests/test_entry_rests.py
+++ b/tests/test_entry_rests.py
@@ -49,7 +49,7 @@
     views = make_views(3)
     _set_backoffs(views, {0: 5.0}, "urgent")
     for view in views[1:]:
-        view.note_silence()
+        view.record_silence()
     assert _usable_indices(views, "normal") == [1, 2]
 
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -55,13 +55,13 @@
 
 
 def _hear(gateway: _Gateway, sender: str, revision: int, age_s: float = 0.0) -> None:
-    gateway.feed.note_relay(sender, RelayState(revision, age_s))
+    gateway.feed.record_relay(sender, RelayState(revision, age_s))
 
 
 def _make_synced(clock: ManualClock, revision: int = 10) -> _Gateway:
     """Return a gateway that has read the store and hears the relay `a`."""
     gateway = _make_hall("b", clock)["b"]
-    gateway.feed.note_read(0, (), revision)
+    gateway.feed.record_read(0, (), revision)
     _hear(gateway, "a", revision)
     return gateway
 
@@ -69,11 +69,11 @@
 def test_new_gateway_listens_before_relaying() -> None:
     clock = ManualClock()
     gateway = _make_hall("b", clock)["b"]
-    gateway.feed.note_read(0, (), 10)
+    gateway.feed.record_read(0, (), 10)
     assert gateway.feed.relay_state() is None
     assert not gateway.feed.is_passive()
     clock.now_s += LONG_SILENCE_S
-    gateway.feed.note_read(10, (), 10)
+    gateway.feed.record_read(10, (), 10)
     assert gateway.feed.relay_state() == RelayState(10, 0.0)
 
 
@@ -82,7 +82,7 @@
     hall = _make_hall("ab", clock)
     clock.now_s += LONG_SILENCE_S
     for gateway in hall.values():
-        gateway.feed.note_read(0, (), 10)
+        gateway.feed.record_read(0, (), 10)
     _hear(hall["a"], "b", 10)
     _hear(hall["b"], "a", 10)
     assert hall["a"].feed.relay_state() is not None
@@ -94,10 +94,10 @@
     clock = ManualClock()
     hall = _make_hall("ab", clock)
     clock.now_s += LONG_SILENCE_S
-    hall["a"].feed.note_read(0, (), 10)
-    hall["a"].feed.note_unreachable()
+    hall["a"].feed.record_read(0, (), 10)
+    hall["a"].feed.record_unreachable()
     assert hall["a"].feed.relay_state() is None
-    hall["b"].feed.note_read(0, (), 10)
+    hall["b"].feed.record_read(0, (), 10)
     _hear(hall["a"], "b", 10)
     assert hall["a"].feed.is_passive()
 
@@ -126,7 +126,7 @@
     clock.now_s += CATCH_UP_S + 0.01
     assert not gateway.feed.is_passive()
     assert gateway.feed.select_fresh((_change(11), _change(12))) == (_change(11),)
-    gateway.feed.note_read(10, (_change(11), _change(12)), 12)
+    gateway.feed.record_read(10, (_change(11), _change(12)), 12)
     assert gateway.feed.is_passive()
 
 
@@ -155,7 +155,7 @@
 ) -> None:
     clock = ManualClock()
     gateway = _make_hall("b", clock)["b"]
-    gateway.feed.note_read(0, (), 10)
+    gateway.feed.record_read(0, (), 10)
     clock.now_s += 10.0
     _hear(gateway, "a", 10, report_age_s)
     clock.now_s += pause_s
@@ -166,9 +166,9 @@
     clock = ManualClock()
     hall = _make_hall("ab", clock)
     clock.now_s += LONG_SILENCE_S
-    hall["a"].feed.note_read(0, (), 10)
+    hall["a"].feed.record_read(0, (), 10)
     large = random.Random(1).randbytes(feed_module.MAX_PACKED_BYTES + 1)
-    hall["a"].feed.note_read(10, (_change(11), _change(12, large), _change(13)), 13)
+    hall["a"].feed.record_read(10, (_change(11), _change(12, large), _change(13)), 13)
     assert [(m.after, m.revision) for m in hall["b"].inbox] == [(10, 11)]
 
 
@@ -197,7 +197,7 @@
         after = feed.revision
         answer = tuple(c for c in log if c.revision > after)
         known[name].update((c.key, c.value) for c in feed.select_fresh(answer))
-        feed.note_read(after, answer, log[-1].revision)
+        feed.record_read(after, answer, log[-1].revision)
 
     for step in range(300):
         if rng.random() < 0.3:
@@ -211,12 +211,12 @@
             state = gateway.feed.relay_state()
             for other in hall:
                 if state is not None and other != name and rng.random() < 0.8:
-                    hall[other].feed.note_relay(name, state)
+                    hall[other].feed.record_relay(name, state)
             if log and not gateway.feed.is_passive():
                 if rng.random() < 0.8:
                     read(name)
                 else:
-                    gateway.feed.note_unreachable()
+                    gateway.feed.record_unreachable()
     truth = {c.key: c.value for c in log}
     for name, gateway in hall.items():
         # Every change up to the gateway's revision has been applied.
@@ -229,9 +229,9 @@
 def test_gateway_is_first_if_no_smaller_name_is_heard() -> None:
     clock = ManualClock()
     feed = _make_hall("b", clock)["b"].feed
-    feed.note_peer("c")
+    feed.record_peer("c")
     assert feed.is_first()
-    feed.note_peer("a")
+    feed.record_peer("a")
     assert not feed.is_first()
     clock.now_s += RELAY_SILENT_S + 0.01
     assert feed.is_first()
@@ -242,13 +242,13 @@
     clock = ManualClock()
     hall = _make_hall("ab", clock)
     clock.now_s += LONG_SILENCE_S
-    hall["a"].feed.note_read(0, (), 10)
-    hall["b"].feed.note_read(0, (), 12)
+    hall["a"].feed.record_read(0, (), 10)
+    hall["b"].feed.record_read(0, (), 12)
     assert hall["a"].feed.relay_state() == RelayState(10, 0.0)
     # Without an answer from the store, it stops reporting as the relay.
     clock.now_s += STALE_S
     assert hall["a"].feed.relay_state() is None
-    hall["a"].feed.note_read(0, (), 12)
+    hall["a"].feed.record_read(0, (), 12)
     assert hall["a"].feed.relay_state() == RelayState(12, 0.0)
 
 
@@ -272,7 +272,7 @@
     clock.now_s += CATCH_UP_S + 0.01
     _hear(gateway, "a", RESTORED)
     assert not gateway.feed.is_passive()
-    gateway.feed.note_read(0, (), RESTORED)
+    gateway.feed.record_read(0, (), RESTORED)
     assert gateway.feed.revision == RESTORED
     # Changes from a gateway that is still in the earlier era are ignored.
     gateway.feed.apply_changes(StoreChanges(10, 11, pack_changes((_change(11),))))
@@ -298,8 +298,8 @@
     feed = _make_hall("b", ManualClock())["b"].feed
     signalled: list[int] = []
     feed.on_revision_advanced = lambda: signalled.append(feed.revision)
-    feed.note_read(0, (), 3)
-    feed.note_read(3, (), 3)
+    feed.record_read(0, (), 3)
+    feed.record_read(3, (), 3)
     feed.apply_changes(StoreChanges(3, 5, pack_changes((_change(5),))))
     feed.apply_changes(StoreChanges(6, 7, pack_changes((_change(7),))))
     feed.apply_changes(StoreChanges(2, 4, pack_changes((_change(4),))))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -329,7 +329,7 @@
         assert other_entry is not None
         bench.list_server("s2", other_entry.address, group={**group, "rank": 1}, size=2)
         await bench.until(lambda: bench.gateway.state.upstreams.find("s2").group == "g")  # type: ignore[union-attr]
-        bench.gateway._planners.note_plan("desk/g", plan)
+        bench.gateway._planners.record_plan("desk/g", plan)
         answer = await asking
         assert answer.is_whole and answer.body == whole_stream()
         assert other.runs == slow.runs
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -190,21 +190,21 @@
     pass_times.on_slower = lambda: noticed.append(now_s)
     for _ in range(20):
         now_s += 0.05
-        pass_times.note_pause(0.040)
+        pass_times.record_pause(0.040)
     batch = 4.0
     for _ in range(20):
         now_s += 0.05
-        pass_times.note_pause(0.080)
+        pass_times.record_pause(0.080)
     assert noticed == []
     for _ in range(20):
         now_s += 0.05
-        pass_times.note_pause(0.160)
+        pass_times.record_pause(0.160)
     assert noticed
     pass_times.settle()
     noticed.clear()
     for _ in range(40):
         now_s += 0.05
-        pass_times.note_pause(0.160)
+        pass_times.record_pause(0.160)
     assert noticed == []
 
 
@@ -215,7 +215,7 @@
         upstreams.put(decode_upstream(f"servers/u{number}", msgspec.json.encode(entry)))
     for upstream in upstreams:
         for _ in range(10):
-            upstreams.note_failure(upstream, 50.0, is_unreachable=False)
+            upstreams.record_failure(upstream, 50.0, is_unreachable=False)
     assert sum(u.ejected_until_s > 50.0 for u in upstreams) == 2
 
 
@@ -238,7 +238,7 @@
         state.upstreams.put(ListedUpstream("u", "desk", "127.0.0.1:9", "hall", 4, False))
         pass_times = state.pass_times_of(state.upstreams.of_service("desk")[0].listed)
         for _ in range(10):
-            pass_times.note_pause(0.1)
+            pass_times.record_pause(0.1)
         assert state.expected_run_s("desk", 50) == pytest.approx(1.0)
         assert state.expected_run_s("desk", 50, events=7) == pytest.approx(0.3)
         assert state.expected_run_s("desk", 50, events=20) == 0.0
@@ -260,7 +260,7 @@
     for rank in (0, 1):
         listed = ListedUpstream(f"s{rank}", "desk", "127.0.0.1:9", "hall", 1, False, "g", rank, 2)
         upstreams.put(listed)
-    upstreams.note_slow_ranks("desk/g", {1})
+    upstreams.record_slow_ranks("desk/g", {1})
     first = upstreams.choose("desk", (), 0.0)
     assert first is not None and first.listed.group_rank == 0
     first.in_flight += 1
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -17,23 +17,23 @@
 def test_each_change_is_reported_once() -> None:
     members, _, changes = _make_members()
     for _ in range(2):
-        members.note_listed("a", LISTED)
+        members.record_listed("a", LISTED)
     for _ in range(2):
-        members.note_listed("a", None)
+        members.record_listed("a", None)
     assert changes == [("a", LISTED), ("a", None)]
     assert members.current == {}
 
 
 def test_unlisted_gateway_remains_until_it_is_silent() -> None:
     members, clock, changes = _make_members()
-    members.note_listed("a", LISTED)
-    members.note_heard("a", HEARD)
+    members.record_listed("a", LISTED)
+    members.record_heard("a", HEARD)
     assert members.current == {"a": LISTED}
-    members.note_listed("a", None)
+    members.record_listed("a", None)
     assert members.current == {"a": HEARD}
     for _ in range(10):
         clock.now_s += HEARD_LIFE_S / 2
-        members.note_heard("a", HEARD)
+        members.record_heard("a", HEARD)
         members.forget_silent()
     assert members.current == {"a": HEARD}
     clock.now_s += HEARD_LIFE_S + 0.1
@@ -44,8 +44,8 @@
 
 def test_listed_gateway_remains_when_silent() -> None:
     members, clock, _ = _make_members()
-    members.note_heard("a", HEARD)
-    members.note_listed("a", LISTED)
+    members.record_heard("a", HEARD)
+    members.record_listed("a", LISTED)
     clock.now_s += HEARD_LIFE_S + 0.1
     members.forget_silent()
     assert members.current == {"a": LISTED}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -55,26 +55,26 @@
     for idx in listed:
         views[idx].is_listed_leaving = True
     for idx in silent:
-        views[idx].note_silence()
+        views[idx].record_silence()
     assert [views.index(v) for v in select_usable(views, 0.0)] == expected
 
 
 def test_failures_eject_for_longer_each_time() -> None:
     view = make_views(1)[0]
     for _ in range(EJECT_AFTER_FAILURES - 1):
-        view.note_failure(0.0, is_unreachable=False)
+        view.record_failure(0.0, is_unreachable=False)
     assert not view.is_ejected(0.0)
-    view.note_failure(0.0, is_unreachable=False)
+    view.record_failure(0.0, is_unreachable=False)
     assert view.is_ejected(0.49) and not view.is_ejected(0.51)
-    view.note_failure(1.0, is_unreachable=True)
+    view.record_failure(1.0, is_unreachable=True)
     assert view.is_ejected(1.99)
-    view.note_success()
+    view.record_success()
     assert not view.is_ejected(1.5)
 
 
 def test_a_load_report_ends_silence() -> None:
     view = make_views(1)[0]
-    view.note_silence()
+    view.record_silence()
     view.apply_report(LoadReport(0, 0, 8, 1.0), 0.0)
     assert not view.is_silent
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -140,7 +140,7 @@
         changes = planner.changes
         group.epoch += 1
         group.ranks = [type(group.ranks[0])() for _ in range(RANKS)]
-        planner.note_epoch(group.epoch)
+        planner.record_epoch(group.epoch)
         await _wait_until(lambda: planner.changes > changes)
 
     _run(scenario)
@@ -150,7 +150,7 @@
     async def scenario(planner: GroupPlanner, group: _CountingGroup, duties: _Duties) -> None:
         await _wait_until(lambda: planner.changes >= 1)
         group.paces = (1.0, 1.0, 4.0, 1.0)
-        planner._note_slower()
+        planner._record_slower()
         await _wait_until(lambda: bool(duties.stored) and duties.stored[-1].slow_ranks == (2,))
         group.paces = (1.0,) * RANKS
         await _wait_until(lambda: duties.stored[-1].slow_ranks == ())
@@ -189,13 +189,13 @@
 
         async def prepare_and_note(*args: Any) -> OrderReply:
             seen_at_note.append(group.seen)
-            planner._note_slower() if is_slower else planner.note_vacancy()
+            planner._record_slower() if is_slower else planner.record_vacancy()
             return await prepare(*args)
 
         group.prepare = prepare_and_note  # type: ignore[method-assign]
         group.hot = 1
         stored = len(duties.stored)
-        planner.note_vacancy()
+        planner.record_vacancy()
         await _wait_until(lambda: len(duties.stored) > stored)
         group.prepare = prepare  # type: ignore[method-assign]
         if is_slower:
@@ -231,7 +231,7 @@
         planner.holder = lambda: "another"
         orders = len(group.orders)
         for _ in range(20):
-            planner.note_vacancy()
+            planner.record_vacancy()
             await asyncio.sleep(0)
         assert len(group.orders) == orders
 
@@ -270,10 +270,10 @@
         planner.pause_objective_s = lambda: 0.1
         assert planner._select_terms() is normal
         for _ in range(10):
-            planner.pass_times.note_pause(0.04)
+            planner.pass_times.record_pause(0.04)
         assert planner._select_terms() is normal
         for _ in range(10):
-            planner.pass_times.note_pause(0.09)
+            planner.pass_times.record_pause(0.09)
         assert planner._select_terms() is pressed
         planner.pass_times._pieces.clear()
         assert planner._select_terms() is pressed
--- a/tests/test_rank_groups.py
+++ b/tests/test_rank_groups.py
@@ -129,10 +129,10 @@
 def test_broken_group_gets_no_requests_while_the_other_serves() -> None:
     async def scenario() -> None:
         fixture = _AdmissionFixture()
-        fixture.health.note_refused("desk/g0", fixture.now_s)
+        fixture.health.record_refused("desk/g0", fixture.now_s)
         assert not fixture.admission.is_broken()
         assert await fixture.take_groups(SIZE * SLOTS) == ["g1"] * (SIZE * SLOTS)
-        fixture.health.note_served("desk/g0", fixture.now_s + 0.1)
+        fixture.health.record_served("desk/g0", fixture.now_s + 0.1)
         assert await fixture.take_groups(SIZE * SLOTS) == ["g0"] * (SIZE * SLOTS)
 
     asyncio.run(scenario())
@@ -141,7 +141,7 @@
 def test_broken_group_is_probed_by_one_request_after_a_delay() -> None:
     async def scenario() -> None:
         fixture = _AdmissionFixture()
-        fixture.health.note_refused("desk/g0", fixture.now_s)
+        fixture.health.record_refused("desk/g0", fixture.now_s)
         fixture.now_s += 5.0
         assert sorted(await fixture.take_groups(4)) == ["g0", "g1", "g1", "g1"]
 
@@ -152,7 +152,7 @@
     async def scenario() -> None:
         fixture = _AdmissionFixture()
         for group in GROUPS:
-            fixture.health.note_refused(f"desk/{group}", fixture.now_s)
+            fixture.health.record_refused(f"desk/{group}", fixture.now_s)
         assert fixture.admission.is_broken()
         probe, refused = await fixture.acquire(), await fixture.acquire()
         assert isinstance(probe, Upstream)
@@ -163,7 +163,7 @@
 
 def test_slow_ranks_are_those_of_their_group() -> None:
     upstreams = _make_set()
-    upstreams.note_slow_ranks("desk/g0", (0, 1, 2))
+    upstreams.record_slow_ranks("desk/g0", (0, 1, 2))
     chosen = {upstreams.choose("desk", (), 0.0).listed.group for _ in range(20)}  # type: ignore[union-attr]
     assert chosen == {"g1"}
 
@@ -236,7 +236,7 @@
         await bench.apply(make_config(2, services=[service]))
         _list_groups(bench)
         await bench.until(lambda: len(bench.gateway._planners.by_group) == 2)
-        bench.gateway._planners.note_plan("desk/g0", StoredPlan(((9, 0, 0, 0),)))
+        bench.gateway._planners.record_plan("desk/g0", StoredPlan(((9, 0, 0, 0),)))
         planners = bench.gateway._planners.by_group
         assert planners["desk/g0"]._stored_demand and not planners["desk/g1"]._stored_demand
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -57,7 +57,7 @@
 
     def become_relay(self) -> None:
         self.clock.now_s += 1.0
-        self.feed.note_read(0, (), 5)
+        self.feed.record_read(0, (), 5)
 
 
 def _make_upstream(incarnation: str) -> ListedUpstream:
@@ -73,7 +73,7 @@
         upstreams = UpstreamSet(random.Random(1), "hall-1")
         clock = ManualClock()
         feed = HallFeed("gw", clock, random.Random(1), lambda c: peer_reports.send_to_hall(c))
-        members = Members(clock, lambda name, member: peer_reports.note_member(name, member))
+        members = Members(clock, lambda name, member: peer_reports.record_member(name, member))
         crashes = CrashWatch(clock, lambda: None)
         peer_reports = PeerReports(
             "gw",
@@ -96,7 +96,7 @@
             ("far", FAR, "hall-2"),
             ("far-2", FAR_2, "hall-2"),
         ):
-            members.note_listed(name, Member(f"{address[0]}:{address[1]}", hall))
+            members.record_listed(name, Member(f"{address[0]}:{address[1]}", hall))
         await scenario(bench)
 
     asyncio.run(run())
@@ -195,8 +195,8 @@
 def test_unlisted_gateway_gets_reports_while_it_is_heard() -> None:
     async def scenario(bench: _Bench) -> None:
         bench.receive(_load("near"), NEAR)
-        bench.members.note_listed("near", None)
-        bench.members.note_listed("near-2", None)
+        bench.members.record_listed("near", None)
+        bench.members.record_listed("near-2", None)
         bench.reports._send_reports()
         assert [address for _, address in bench.socket.sent] == [NEAR]
         # Once silent, it is no longer sent reports.
@@ -254,7 +254,7 @@
         bench.reports._send_reports()
         assert {address for _, address in bench.socket.sent} == {NEAR, NEAR_2}
         bench.socket.sent.clear()
-        bench.upstreams.note_limit(upstream, 2.0, asyncio.get_running_loop().time())
+        bench.upstreams.record_limit(upstream, 2.0, asyncio.get_running_loop().time())
         bench.reports._send_reports()
         reports_sent = [m for m, address in bench.socket.sent if address in (FAR, FAR_2)]
         assert len(reports_sent) == 1 and isinstance(reports_sent[0], HallSignals)
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -134,7 +134,7 @@
     pauses = []
     sleep = asyncio.sleep
 
-    async def note_pause(pause_s: float) -> None:
+    async def record_pause(pause_s: float) -> None:
         pauses.append(pause_s)
         await sleep(0.001)
 
@@ -142,7 +142,7 @@
         store.put("servers/a", _make_entry())
         await _wait_until(lambda: "a" in recorded.upstreams)
         pauses.clear()
-        monkeypatch.setattr(follow.asyncio, "sleep", note_pause)
+        monkeypatch.setattr(follow.asyncio, "sleep", record_pause)
         store.fault = "busy"
         retries = (follow.RETRY_DELAY_S, follow.BACKUP_RETRY_DELAY_S)
         await _wait_until(lambda: sum(pause in retries for pause in pauses) > 3)
