--- a/soak/defects.py
+++ b/soak/defects.py
@@ -77,7 +77,7 @@
 
 def _ignore_upstream_signals() -> None:
     """Ignore backoff, limit and leaving headers in upstream responses."""
-    GatewayState.note_signals = lambda *args: None  # type: ignore[method-assign]
+    GatewayState.apply_signals = lambda *args: None  # type: ignore[method-assign]
 
 
 def _disable_crash_detection() -> None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -341,7 +341,7 @@
         assert other_entry is not None
         bench.list_server("s2", other_entry.address, group={**group, "rank": 1}, size=2)
         await bench.wait_until(lambda: bench.gateway.state.upstreams.find("s2").group == "g")  # type: ignore[union-attr]
-        bench.gateway._planners.note_plan("desk/g", plan)
+        bench.gateway._planners.record_plan("desk/g", plan)
         answer = await request_task
         assert answer.is_whole and answer.body == make_stream_body()
         assert other_server.runs == slow_server.runs
