--- a/benchmarks/switch.py
+++ b/benchmarks/switch.py
@@ -65,7 +65,7 @@
         bench.wait_steps(80)
         blocked_ms = bench.group.blocked_ms - blocked_before_ms
         recent_step_times_ms = bench.group.step_times_ms[-80:]
-        moves = int(planner.last_reason.split()[0]) if "moves lower" in planner.last_reason else 0
+        moves = int(planner.last_reason.split()[0]) if "moves reduce" in planner.last_reason else 0
         return blocked_ms, statistics.mean(recent_step_times_ms), moves
     finally:
         bench.close()
--- a/dalehollow/entry/pool.py
+++ b/dalehollow/entry/pool.py
@@ -35,7 +35,7 @@
         """Create an empty pool; `clock` returns monotonic seconds.
 
         Each service gets a subset of `subset_size` upstreams, or fewer where all services
-        together would exceed `peer_limit`, but never fewer than `LEAST_SUBSET`.
+        together would exceed `peer_limit`, but never fewer than `MIN_SUBSET_SIZE`.
         """
         self._entry = entry
         self._hall = hall
