--- a/benchmarks/amplification.py
+++ b/benchmarks/amplification.py
@@ -12,7 +12,7 @@
 
 REQUESTS = 20_000
 UPSTREAMS = 10
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 
 
 def run() -> None:
@@ -36,8 +36,8 @@
     attempts = answered = 0
     for _ in range(REQUESTS):
         if budget is not None:
-            budget.record_first_try()
-        order = rng.sample(range(UPSTREAMS), MAX_TRIES)
+            budget.record_first_attempt()
+        order = rng.sample(range(UPSTREAMS), MAX_ATTEMPTS)
         for attempt, upstream in enumerate(order):
             if attempt and budget is not None and not budget.take_retry():
                 break
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -106,14 +106,14 @@
 
 def _simulate_allocation(entries: int, halls: int) -> None:
     rng = random.Random(5)
-    keepers: dict[str, ShareManager] = {}
+    managers: dict[str, ShareManager] = {}
     isolated: set[str] = set()
 
     def make_transport(sender: str) -> Callable[[str, ShareRequest], Result[ShareGrant, str]]:
         def transmit(address: str, message: ShareRequest) -> Result[ShareGrant, str]:
             if sender in isolated or address in isolated:
                 return Err("entry is isolated")
-            return Ok(keepers[address].answer(message))
+            return Ok(managers[address].answer(message))
 
         return transmit
 
@@ -130,21 +130,21 @@
         {},
     )
     for idx, name in enumerate(names):
-        keeper = ShareManager(name, f"h{idx % halls}", make_transport(name), clock=lambda: 0.0)
-        keeper.update_vm_list(vms)
-        keeper.apply(cfg)
-        keepers[name] = keeper
+        manager = ShareManager(name, f"h{idx % halls}", make_transport(name), clock=lambda: 0.0)
+        manager.update_vm_list(vms)
+        manager.apply(cfg)
+        managers[name] = manager
     worst, used = 0.0, 0.0
     busy = names[0]
     for number in range(ROUNDS):
         if number % 20 == 0:
             busy = rng.choice(names)
             isolated = set(rng.sample(names, entries // 8))
-        for name, keeper in keepers.items():
+        for name, manager in managers.items():
             for _ in range(200 if name == busy else 0):
-                keeper.take("a")
-            keeper.run_round(1.0)
-        shares = {n: held_shares(k)["a"] for n, k in keepers.items()}
+                manager.take("a")
+            manager.run_round(1.0)
+        shares = {n: held_shares(k)["a"] for n, k in managers.items()}
         worst = max(worst, sum(shares.values()))
         used += shares[busy]
     print_pairs(
--- a/dalehollow/aio/caller.py
+++ b/dalehollow/aio/caller.py
@@ -237,7 +237,7 @@
         return self._head_sent
 
     def close_if_idle(self) -> None:
-        """Close the connection unless a request is in progress, queued or being received."""
+        """Close the connection unless a request is in flight, queued or being received."""
         if self.is_busy or self._requests or self._is_reading_head or self._headers:
             return
         if self._transport is not None:
--- a/dalehollow/cli.py
+++ b/dalehollow/cli.py
@@ -97,7 +97,7 @@
 def apply(file: str, platform: str, parent: int | None = None, json: bool = False) -> None:
     """Apply a configuration file atomically.
 
-    With --parent, apply it only if that version is still in force.
+    With --parent, apply it only if that version is still active.
     """
     apply_id = uuid.uuid4().hex
     applied = apply_text(HttpKeyValue(platform), _read_file(file), apply_id=apply_id, parent=parent)
@@ -125,7 +125,7 @@
 
 
 def diff(file: str, platform: str, json: bool = False) -> None:
-    """Print the names that a file would add, change or remove in the configuration in force."""
+    """Print the names that a file would add, change or remove in the active configuration."""
     checked = check_text(_read_file(file))
     if isinstance(checked, Err):
         _fail(_describe_apply_error(checked.err_value))
@@ -159,7 +159,7 @@
 
 
 def status(*addresses: str, json: bool = False) -> None:
-    """Print the configuration version in force in the process at each control address."""
+    """Print the active configuration version of the process at each control address."""
     rows = []
     for address in addresses:
         state = _fetch_dump(address, "", may_fail=True)
@@ -293,7 +293,7 @@
         applied_at = time.strftime("%H:%M:%S", time.gmtime(winner.applied_at_ms / 1000))
         return (
             f"version {winner.version} (apply {winner.apply_id}, {applied_at} UTC) "
-            "was applied first; nothing of this file is in force"
+            "was applied first; nothing of this file was applied"
         )
     if isinstance(error, PlatformError):
         return f"the call to the platform failed: {error}"
--- a/dalehollow/config/check.py
+++ b/dalehollow/config/check.py
@@ -182,7 +182,7 @@
 
 
 def _check_keys(collector: IssueCollector, accounts: Mapping[str, Account]) -> None:
-    """Report accounts that share a key and could not be told apart."""
+    """Report accounts that share a key and could not be distinguished."""
     owners: dict[str, str] = {}
     for account in accounts.values():
         first = owners.setdefault(account.key_sha256, account.name)
--- a/dalehollow/entry/attempt.py
+++ b/dalehollow/entry/attempt.py
@@ -40,8 +40,8 @@
         if isinstance(tried, Err):
             view.record_done()
             failure = tried.err_value
-            if failure.rest_ms is not None:
-                view.start_backoff(job.priority, now_s + failure.rest_ms / _MS_PER_S)
+            if failure.backoff_ms is not None:
+                view.start_backoff(job.priority, now_s + failure.backoff_ms / _MS_PER_S)
             if failure.reason in (Reason.UPSTREAM_UNREACHABLE, Reason.UPSTREAM_FAILED):
                 is_unreachable = failure.reason is Reason.UPSTREAM_UNREACHABLE
                 view.record_failure(now_s, is_unreachable=is_unreachable)
--- a/dalehollow/entry/serve.py
+++ b/dalehollow/entry/serve.py
@@ -25,7 +25,7 @@
 from dalehollow.web import Answer, HttpResponse
 from dalehollow.web.client import TruncatedResponseError
 
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 _RETRY_NO_UPSTREAM_MS = 1_000
 
 _log = logging.getLogger(__name__)
@@ -38,7 +38,7 @@
     answer: Answer
     view: UpstreamView | None
     upstream: str
-    tries: int
+    attempts: int
 
 
 @dataclass
@@ -55,18 +55,18 @@
 
     def serve(self, job: Job) -> Result[HttpResponse, Failure]:
         """Run a job and return the response, or the failure with its verdict."""
-        tries = self._call_owner(job) if job.key is not None else self._call_with_retries(job)
-        if isinstance(tries, Err):
-            return tries
-        return self._make_response(job, tries.ok_value)
+        outcome = self._call_owner(job) if job.key is not None else self._call_with_retries(job)
+        if isinstance(outcome, Err):
+            return outcome
+        return self._make_response(job, outcome.ok_value)
 
     def _call_with_retries(self, job: Job) -> Result[UpstreamAnswer, Failure]:
         budget = self._get_budget(job.account.name)
-        budget.record_first_try()
+        budget.record_first_attempt()
         tried: list[str] = []
         failure: Failure | None = None
         worst_verdict = Verdict.NOT_RUN
-        while len(tried) < MAX_TRIES:
+        while len(tried) < MAX_ATTEMPTS:
             view = self.pool.pick(job.service, tried, job.priority)
             if view is None:
                 break
@@ -130,7 +130,7 @@
             hdr.REQUEST_ID: job.request_id,
             hdr.ENTRY: self.entry,
             hdr.UPSTREAM: served.upstream,
-            hdr.TRIES: str(served.tries),
+            hdr.TRIES: str(served.attempts),
         }
         if answer.headers.get(hdr.REPLAYED) == "true":
             headers[hdr.REPLAYED] = "true"
--- a/dalehollow/entry/shares.py
+++ b/dalehollow/entry/shares.py
@@ -227,6 +227,6 @@
                     self._resize(usage)
 
 
-def held_shares(keeper: ShareManager) -> Mapping[str, float]:
+def held_shares(manager: ShareManager) -> Mapping[str, float]:
     """Return each account's share in requests/s, for tests and benchmarks."""
-    return {name: u.floor_per_s + u.held_per_s for name, u in keeper._usages.items()}
+    return {name: u.floor_per_s + u.held_per_s for name, u in manager._usages.items()}
--- a/dalehollow/errors.py
+++ b/dalehollow/errors.py
@@ -67,7 +67,8 @@
 class Failure:
     """Describe why a request was refused or failed, as reported to the caller.
 
-    `rest_ms` is the time for which the upstream accepts no request of this priority or a lower one.
+    `backoff_ms` is the time in which the upstream is to receive no request of this priority or a
+    lower one.
     """
 
     reason: Reason
@@ -75,7 +76,7 @@
     message: str
     retry_after_ms: int | None = None
     may_retry: bool = False
-    rest_ms: int | None = None
+    backoff_ms: int | None = None
 
     @property
     def status(self) -> int:
--- a/dalehollow/gateway/feed.py
+++ b/dalehollow/gateway/feed.py
@@ -67,7 +67,7 @@
         # of items as of a revision.
         self.on_changes: Callable[[tuple[Change, ...]], None] = lambda changes: None
         self.on_snapshot: Callable[[tuple[Change, ...], int], None] = lambda changes, revision: None
-        # Called when `revision` advances, so that peers can be told of it.
+        # Called when `revision` advances, so that peers can be notified.
         self.on_revision_advanced: Callable[[], None] = lambda: None
         # No change up to this revision is missing; some newer ones may be known too.
         self.revision = 0
@@ -240,8 +240,10 @@
                 fresh.append(change)
             elif change.revision < self.newest_revision(change.key):
                 known = format_revision(self.newest_revision(change.key))
-                told = format_revision(change.revision)
-                log_event(_LOG, "change_passed_over", key=change.key, revision=told, known=known)
+                received = format_revision(change.revision)
+                log_event(
+                    _LOG, "change_passed_over", key=change.key, revision=received, known=known
+                )
         return tuple(fresh)
 
     def newest_revision(self, key: str) -> int:
--- a/dalehollow/gateway/planner.py
+++ b/dalehollow/gateway/planner.py
@@ -28,14 +28,14 @@
 MAX_WAIT_S = 0.5
 """Bounds of the pause until a switch takes place: about the shortest pass, and three long ones. An
 idle group makes no passes, so the expected time may be far too long."""
-SWITCH_TRIES = 3
+SWITCH_ATTEMPTS = 3
 COPY_MARGIN = 1.2
 MIN_SAMPLED_RANKS = 2
 TAKE_DELAY_S = 0.05
 MAX_TAKE_DELAYS = 20
-"""Gateways try to take a vacant duty in turn, in an order that differs by duty: most need not try,
+"""Gateways attempt to take a vacant duty in turn, in an order that differs by duty: most need not,
 and the duties of many groups are spread over many gateways."""
-PREPARE_TRIES = 4
+PREPARE_ATTEMPTS = 4
 WINDOW_S = 0.3
 """Length of a demand window: some passes, with several requests at each rank."""
 EPOCH_RETRY_S = 0.1
@@ -391,7 +391,7 @@
             return SwitchOutcome.ABANDONED
         await asyncio.sleep(copy_s)
         outcome = SwitchOutcome.ABANDONED
-        for _ in range(SWITCH_TRIES):
+        for _ in range(SWITCH_ATTEMPTS):
             if self.duties.fence(self.duty) != fence:
                 return SwitchOutcome.ABANDONED
             proposal = Proposal(
@@ -412,7 +412,7 @@
 
     async def _prepare(self, rank: int, version: int, planned: GroupMap) -> OrderReply:
         reply = OrderReply.UNANSWERED
-        for _ in range(PREPARE_TRIES):
+        for _ in range(PREPARE_ATTEMPTS):
             reply = await self.port.prepare(rank, version, planned, self._epoch)
             if reply is not OrderReply.UNANSWERED:
                 break
--- a/dalehollow/gateway/upstream.py
+++ b/dalehollow/gateway/upstream.py
@@ -30,14 +30,14 @@
 
 @dataclass(eq=False)
 class Move:
-    """Hold an attempt that can move to another upstream, and the reason once it is told to."""
+    """Hold an attempt that can move to another upstream, and the reason once a move is due."""
 
     connection: ClientConnection | None = None
     reason: MoveReason | None = None
 
     @property
     def is_requested(self) -> bool:
-        """Return whether the attempt was told to move."""
+        """Return whether a move of the attempt was requested."""
         return self.reason is not None
 
     def request(self, reason: MoveReason) -> None:
--- a/dalehollow/limits/budget.py
+++ b/dalehollow/limits/budget.py
@@ -21,7 +21,7 @@
     _balance: float = -1.0
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
-    def record_first_try(self) -> None:
+    def record_first_attempt(self) -> None:
         """Add the share earned by one first attempt."""
         with self._lock:
             self._balance = min(self.max_balance, self._current_balance() + self.share)
--- a/dalehollow/limits/gate.py
+++ b/dalehollow/limits/gate.py
@@ -148,7 +148,7 @@
         ):
             message = f"the queue has reached its limit of {self._limits.queue_limit} requests"
             failure = self._make_failure(Reason.QUEUE_FULL, message)
-            return replace(failure, rest_ms=failure.retry_after_ms)
+            return replace(failure, backoff_ms=failure.retry_after_ms)
         return None
 
     def _displace(self, priority: str) -> bool:
--- a/dalehollow/telemetry/trace.py
+++ b/dalehollow/telemetry/trace.py
@@ -10,8 +10,8 @@
 
 CAUSES: Mapping[str, str] = {
     "no_configuration": "the process had not received any configuration yet",
-    "unknown_route": "no route of the configuration in force matches the host and path",
-    "unknown_key": "the key belongs to no client account of the configuration in force",
+    "unknown_route": "no route of the active configuration matches the host and path",
+    "unknown_key": "the key belongs to no client account of the active configuration",
     "stopping": "the process was stopping and could not have finished the request",
     "group_broken": "the rank group was broken: a rank was dead or unreachable",
     "no_upstream": "every listed upstream of the service was leaving, or none was listed",
--- a/dalehollow/web/refusal.py
+++ b/dalehollow/web/refusal.py
@@ -25,8 +25,8 @@
     if failure.retry_after_ms is not None:
         headers[hdr.RETRY_AFTER] = str(max(1, math.ceil(failure.retry_after_ms / _MS_PER_S)))
         headers[hdr.RETRY_AFTER_MS] = str(failure.retry_after_ms)
-    if failure.rest_ms is not None:
-        headers[hdr.REST_MS] = str(failure.rest_ms)
+    if failure.backoff_ms is not None:
+        headers[hdr.REST_MS] = str(failure.backoff_ms)
     error = {
         "reason": failure.reason,
         "verdict": failure.verdict,
@@ -48,7 +48,7 @@
         message=_read_message(body),
         retry_after_ms=int(retry_after) if retry_after is not None else None,
         may_retry=headers.get(hdr.MAY_RETRY) == "true",
-        rest_ms=_read_ms(headers.get(hdr.REST_MS)),
+        backoff_ms=_read_ms(headers.get(hdr.REST_MS)),
     )
 
 
--- a/dalehollow/web/server.py
+++ b/dalehollow/web/server.py
@@ -1,4 +1,4 @@
-"""Serve HTTP with cheroot, with one thread per connection that has a request in progress."""
+"""Serve HTTP with cheroot, with one thread per connection that has a request in flight."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class _RequestTracker:
-    """Count requests in progress; `is_closing` closes connections after their next response."""
+    """Count requests in flight; `is_closing` closes connections after their next response."""
 
     def __init__(self) -> None:
         self.is_closing = False
@@ -203,11 +203,11 @@
         self._tracker.is_closing = True
 
     def wait_idle(self, timeout_s: float) -> int:
-        """Wait at most `timeout_s` for all requests to end; return how many are in progress."""
+        """Wait at most `timeout_s` for all requests to end; return how many are in flight."""
         return self._tracker.wait_idle(timeout_s)
 
     def stop(self) -> None:
-        """Close the listener and idle connections without waiting for requests in progress."""
+        """Close the listener and idle connections without waiting for requests in flight."""
         self._server.stop()
 
 
--- a/dalehollow/web/threads.py
+++ b/dalehollow/web/threads.py
@@ -1,4 +1,4 @@
-"""Provide a thread pool for cheroot with one thread per request in progress."""
+"""Provide a thread pool for cheroot with one thread per request in flight."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
             self._executor.submit(self._serve, conn)
 
     def stop(self, timeout: float = 5) -> None:
-        """Accept no more connections; HttpServer.wait_idle waits for requests in progress."""
+        """Accept no more connections; HttpServer.wait_idle waits for requests in flight."""
         if self._executor is not None:
             self._executor.shutdown(wait=False, cancel_futures=True)
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -52,7 +52,7 @@
     assert conflicting.returncode == 1
     assert (
         "version 1" in conflicting.stderr
-        and "nothing of this file is in force" in conflicting.stderr
+        and "nothing of this file was applied" in conflicting.stderr
     )
 
 
--- a/tests/test_entry_rests.py
+++ b/tests/test_entry_rests.py
@@ -64,27 +64,32 @@
     gate = Gate(GateLimits(slots=1, urgent_extra=0, queue_limit=0), read_clock)
     gate.acquire("normal", read_clock() + 60.0).unwrap()
     full = gate.acquire("normal", read_clock() + 60.0).unwrap_err()
-    assert full.rest_ms == full.retry_after_ms
+    assert full.backoff_ms == full.retry_after_ms
     late = gate.acquire("normal", read_clock() - 1.0).unwrap_err()
-    assert late.rest_ms is None
+    assert late.backoff_ms is None
 
 
-@pytest.mark.parametrize("rest_ms", [None, 0, 250])
-def test_backoff_is_transferred_from_sidecar_to_entry(rest_ms: int | None) -> None:
+@pytest.mark.parametrize("backoff_ms", [None, 0, 250])
+def test_backoff_is_transferred_from_sidecar_to_entry(backoff_ms: int | None) -> None:
     failure = Failure(
-        Reason.QUEUE_FULL, NOT_RUN, "full", retry_after_ms=100, may_retry=True, rest_ms=rest_ms
+        Reason.QUEUE_FULL,
+        NOT_RUN,
+        "full",
+        retry_after_ms=100,
+        may_retry=True,
+        backoff_ms=backoff_ms,
     )
     response = make_refusal(failure, request_id="r")
     read = read_refusal(response.headers, response.body)
-    assert read is not None and read.rest_ms == rest_ms
+    assert read is not None and read.backoff_ms == backoff_ms
 
 
 @pytest.mark.parametrize("value", ["-1", "nan", "", "soon", "1.5"])
 def test_invalid_backoff_header_is_ignored(value: str) -> None:
-    failure = Failure(Reason.QUEUE_FULL, NOT_RUN, "full", rest_ms=1)
+    failure = Failure(Reason.QUEUE_FULL, NOT_RUN, "full", backoff_ms=1)
     headers = {**make_refusal(failure, request_id="r").headers, hdr.REST_MS: value}
     read = read_refusal(headers, b"")
-    assert read is not None and read.rest_ms is None
+    assert read is not None and read.backoff_ms is None
 
 
 def test_pool_returns_the_shortest_remaining_backoff() -> None:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -119,11 +119,11 @@
 
 
 class Fleet:
-    """Connect share keepers by direct calls, some of which can be partitioned."""
+    """Connect share managers by direct calls, some of which can be partitioned."""
 
     def __init__(self, count: int) -> None:
         self.partitioned: set[str] = set()
-        self.keepers: dict[str, ShareManager] = {}
+        self.managers: dict[str, ShareManager] = {}
         vms = tuple(Vm(f"e{i}", "live", "cmb-a", f"e{i}") for i in range(count))
         halls = {
             "cmb-a": {"region": "lk-west", "entries": count},
@@ -131,28 +131,28 @@
         }
         cfg = check_text(make_text(halls=halls)).unwrap()
         for vm in vms:
-            keeper = ShareManager(vm.name, "cmb-a", self._make_ask(vm.name), clock=lambda: 0.0)
-            keeper.update_vm_list(vms)
-            keeper.apply(cfg)
-            self.keepers[vm.name] = keeper
+            manager = ShareManager(vm.name, "cmb-a", self._make_ask(vm.name), clock=lambda: 0.0)
+            manager.update_vm_list(vms)
+            manager.apply(cfg)
+            self.managers[vm.name] = manager
 
     def _make_ask(self, sender: str):  # type: ignore[no-untyped-def]
         def request(address: str, message: ShareRequest) -> Result[ShareGrant, str]:
             if sender in self.partitioned or address in self.partitioned:
                 return Err("partitioned")
-            return Ok(self.keepers[address].answer(message))
+            return Ok(self.managers[address].answer(message))
 
         return request
 
     def run(self, rounds: int, demand: dict[str, int]) -> None:
         for _ in range(rounds):
-            for name, keeper in self.keepers.items():
+            for name, manager in self.managers.items():
                 for _ in range(demand.get(name, 0)):
-                    keeper.take("colombo-city")
-                keeper.run_round(1.0)
+                    manager.take("colombo-city")
+                manager.run_round(1.0)
 
     def total(self) -> float:
-        return sum(held_shares(k)["colombo-city"] for k in self.keepers.values())
+        return sum(held_shares(k)["colombo-city"] for k in self.managers.values())
 
 
 @pytest.mark.parametrize("count", [2, 8, 24])
@@ -160,29 +160,29 @@
     fleet = Fleet(count)
     limit = make_raw()["client_accounts"]["colombo-city"]["requests_per_s"]
     fleet.run(30, {"e0": 50})
-    assert held_shares(fleet.keepers["e0"])["colombo-city"] > 0.75 * limit
+    assert held_shares(fleet.managers["e0"])["colombo-city"] > 0.75 * limit
     assert fleet.total() <= limit * 1.05
     fleet.run(30, {"e1": 50})
-    assert held_shares(fleet.keepers["e1"])["colombo-city"] > 0.75 * limit
+    assert held_shares(fleet.managers["e1"])["colombo-city"] > 0.75 * limit
     assert fleet.total() <= limit * 1.05
 
 
 def test_partitioned_entry_keeps_its_share_and_the_sum_holds() -> None:
     fleet = Fleet(8)
     fleet.run(30, {"e0": 50})
-    before = held_shares(fleet.keepers["e0"])["colombo-city"]
+    before = held_shares(fleet.managers["e0"])["colombo-city"]
     fleet.partitioned.add("e0")
     fleet.run(30, {"e0": 500, "e1": 50})
-    assert held_shares(fleet.keepers["e0"])["colombo-city"] <= before + 1e-9
+    assert held_shares(fleet.managers["e0"])["colombo-city"] <= before + 1e-9
     assert fleet.total() <= 5 * 1.05
 
 
 def test_without_listed_entries_the_limit_is_split_evenly() -> None:
     cfg = check_text(make_text()).unwrap()
-    keeper = ShareManager("e0", "cmb-a", lambda address, request: Err("nobody"))
-    keeper.apply(cfg)
-    keeper.update_vm_list(())
-    assert held_shares(keeper)["colombo-city"] == pytest.approx(5 / cfg.count_entries())
+    manager = ShareManager("e0", "cmb-a", lambda address, request: Err("nobody"))
+    manager.apply(cfg)
+    manager.update_vm_list(())
+    assert held_shares(manager)["colombo-city"] == pytest.approx(5 / cfg.count_entries())
 
 
 @pytest.mark.parametrize(("platform", "share"), [(None, 2.5), ("127.0.0.1:1", 0.5)])
