--- a/soak/promises.py
+++ b/soak/promises.py
@@ -185,7 +185,7 @@
             ):
                 continue
             if request.request_id not in arrived:
-                # The request crossed the close of the connection; the client may retry it.
+                # The request crossed the close of the connection; the caller may retry it.
                 continue
             server = arrived[request.request_id]
             if history.is_fault_free(
--- a/tests/features/at_most_once.feature
+++ b/tests/features/at_most_once.feature
@@ -3,9 +3,9 @@
   Scenario Outline: <fault> while a payment is at step <step>
     Given a hall with a payment blocked at step <step>
     When the fault <fault> is injected
-    And the client retries at another entry until the outcome is known
+    And the caller retries at another entry until the outcome is known
     Then the payment ran at most once
-    And every verdict returned to clients is correct
+    And every verdict returned to callers is correct
 
     Examples:
       | step             | fault            |
--- a/tests/gateway_bench.py
+++ b/tests/gateway_bench.py
@@ -113,12 +113,12 @@
         return listed
 
     async def apply(self, config: Mapping[str, object]) -> None:
-        """Store a configuration and wait until it is in force at the gateway."""
+        """Store a configuration and wait until it is active at the gateway."""
         self.store.put("op/config", msgspec.json.encode(config))
         await self.wait_until(lambda: self.version() == config["version"])
 
     def version(self) -> int | None:
-        """Return the configuration version in force at the gateway."""
+        """Return the configuration version active at the gateway."""
         table = self.gateway.state.table
         return table.version if table is not None else None
 
--- a/tests/late_chains.py
+++ b/tests/late_chains.py
@@ -18,7 +18,7 @@
 from tests.virtual_time import run_virtual
 
 BOUND_S = 1.8
-"""Documented bound; deployments allow at least 2 s until a confirmed configuration is in force."""
+"""Documented bound; deployments allow at least 2 s until a confirmed configuration is active."""
 RELAY_START_S = 2.0
 SETTLE_S = 5.0
 WATCHED_S = 4.0
--- a/tests/late_schedules.py
+++ b/tests/late_schedules.py
@@ -54,7 +54,7 @@
 
     def check(self, bound_s: float) -> list[MissedFact]:
         """Update which sources are reachable; return the facts lacked for too long."""
-        self._note_outage()
+        self._record_outage()
         for name, gateway in self.world.gateways.items():
             for upstream in self.world.left_at_s:
                 if gateway.version and not gateway.may_use(upstream):
@@ -67,7 +67,7 @@
             for miss in self._check_gateway(gateway, bound_s)
         ]
 
-    def _note_outage(self) -> None:
+    def _record_outage(self) -> None:
         """Treat a period in which the store answered no gateway as an outage of the store."""
         gateways = self.world.gateways.values()
         is_heard = self.world.store.fault == "none" and any(g.path is Path.PASS for g in gateways)
@@ -103,9 +103,9 @@
         return max(recovered_at_s, self._grace_end_s(fact), self.world.left_at_s[fact])
 
     def _grace_end_s(self, upstream: str) -> float:
-        """Return until when a missing entry may have lapsed or been lost in a restore.
+        """Return until when a missing entry may have expired or been lost in a restore.
 
-        A gateway that was cut off during both cannot tell which it is, even if others can.
+        A gateway that was cut off during both cannot determine which it is, even if others can.
         """
         is_gone = upstream in self.world.gone_at_s
         return self.world.store_recovered_at_s + EXPIRY_GRACE_S if is_gone else float("-inf")
--- a/tests/payment_bench.py
+++ b/tests/payment_bench.py
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """Hold the outcome a client received; all None if the connection broke first."""
+    """Hold the outcome a caller received; all None if the connection broke first."""
 
     status: int | None
     verdict: str | None
@@ -209,7 +209,7 @@
         }
 
     def pay(self, entry: int, body: bytes, key: str | None, deadline_ms: int) -> Outcome:
-        """Send one payment as a client does."""
+        """Send one payment as a caller does."""
         headers = {"authorization": f"Bearer {KEY}", "dalehollow-deadline-ms": str(deadline_ms)}
         if key is not None:
             headers["idempotency-key"] = key
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -41,7 +41,7 @@
 )
 
 GRACEFUL_FAULTS = ("entry_stopped", "sidecar_restarted")
-"""Faults that abort no request: every client in flight receives an outcome."""
+"""Faults that abort no request: every request in flight receives an outcome."""
 
 CONNECT_STEPS = (Step.CONNECT_SIDECAR, Step.CONNECT_UPSTREAM)
 
@@ -58,7 +58,7 @@
 
 @dataclass
 class Payment:
-    """Hold one payment, the outcomes its clients received and the threads still waiting."""
+    """Hold one payment, the outcomes its callers received and the threads still waiting."""
 
     key: str
     body: bytes
@@ -231,7 +231,7 @@
 }
 
 
-@when("the client retries at another entry until the outcome is known")
+@when("the caller retries at another entry until the outcome is known")
 def retry_payment(bench: PaymentBench, payment: Payment) -> None:
     # Once under the fault, then with everything released, until the outcome is final.
     payment.retries.append(bench.pay(1, payment.body, payment.key, 500))
@@ -262,20 +262,20 @@
     assert bench.count_runs(payment.body) <= 1
 
 
-@then("every verdict returned to clients is correct")
+@then("every verdict returned to callers is correct")
 def check_verdicts(bench: PaymentBench, payment: Payment) -> None:
     check_outcomes(payment, bench.count_runs(payment.body))
 
 
 def check_outcomes(payment: Payment, runs: int) -> None:
-    """Compare the outcomes that clients received with the upstreams' own run count."""
+    """Compare the outcomes that callers received with the upstreams' own run count."""
     outcomes = [*payment.first, *payment.retries]
     answers = {o.body for o in outcomes if o.status == 200}
     assert len(answers) <= 1, "two different responses to one payment"
     if answers or any(o.verdict == "RAN" for o in outcomes):
-        assert runs == 1, "a client was told that it ran"
+        assert runs == 1, "a caller was told that it ran"
     if all(o.verdict == "NOT_RUN" for o in outcomes):
-        assert runs == 0, "all clients were told that it did not run"
+        assert runs == 0, "all callers were told that it did not run"
     if payment.step in CONNECT_STEPS:
         assert payment.first[0].verdict == "NOT_RUN", "nothing was sent, so it cannot have run"
     if payment.must_get_outcome:
@@ -341,5 +341,5 @@
 def test_outcome_check_detects_a_wrong_verdict() -> None:
     """Pass a wrong NOT_RUN verdict, like that of a gate that refuses after sending."""
     payment = Payment("k", b"b", retries=[Outcome(503, "NOT_RUN", "queue_full", b"")])
-    with pytest.raises(AssertionError, match="all clients were told that it did not run"):
+    with pytest.raises(AssertionError, match="all callers were told that it did not run"):
         check_outcomes(payment, runs=1)
--- a/tests/test_rank_groups.py
+++ b/tests/test_rank_groups.py
@@ -61,7 +61,7 @@
     async def acquire(self) -> Upstream | AdmissionRefusal:
         return await self.admission.acquire(AdmissionRequest("talk", 5, 40.0, 8.0, 8.0), ())
 
-    async def take_groups(self, count: int) -> list[str]:
+    async def acquire_groups(self, count: int) -> list[str]:
         taken = [await self.acquire() for _ in range(count)]
         return [u.listed.group for u in taken if isinstance(u, Upstream)]
 
@@ -131,9 +131,9 @@
         fixture = _AdmissionFixture()
         fixture.health.record_refused("desk/g0", fixture.now_s)
         assert not fixture.admission.is_broken()
-        assert await fixture.take_groups(SIZE * SLOTS) == ["g1"] * (SIZE * SLOTS)
+        assert await fixture.acquire_groups(SIZE * SLOTS) == ["g1"] * (SIZE * SLOTS)
         fixture.health.record_served("desk/g0", fixture.now_s + 0.1)
-        assert await fixture.take_groups(SIZE * SLOTS) == ["g0"] * (SIZE * SLOTS)
+        assert await fixture.acquire_groups(SIZE * SLOTS) == ["g0"] * (SIZE * SLOTS)
 
     asyncio.run(scenario())
 
@@ -143,7 +143,7 @@
         fixture = _AdmissionFixture()
         fixture.health.record_refused("desk/g0", fixture.now_s)
         fixture.now_s += 5.0
-        assert sorted(await fixture.take_groups(4)) == ["g0", "g1", "g1", "g1"]
+        assert sorted(await fixture.acquire_groups(4)) == ["g0", "g1", "g1", "g1"]
 
     asyncio.run(scenario())
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -81,7 +81,7 @@
         (_make_history(replace(GOOD, response_id="r2")), ["response matches request"]),
         (_make_history(replace(GOOD, body=b"half")), ["complete response"]),
         (_make_history(replace(GOOD, kind="stream", body=b"id: 1\n\n")), ["complete response"]),
-        # The client can tell that the response is incomplete.
+        # The caller can detect that the response is incomplete.
         (_make_history(replace(GOOD, is_complete=False, body=b"half")), []),
         (_make_history(replace(GOOD, status=503), runs=("r1",)), ["refused request not run"]),
         (_make_history(replace(GOOD, status=502), runs=("r1",)), []),
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -353,7 +353,7 @@
         store.put("servers/a", _make_entry())
         await _wait_until(lambda: "a" in recorded.upstreams)
         store.fault = "busy"
-        # The first failed call is the watch already in progress.
+        # The first failed call is the watch already in flight.
         calls = len(store.calls)
         await _wait_until(lambda: len(store.calls) > calls + 1)
         for version in range(2, 9):
--- a/tests/test_switch_map.py
+++ b/tests/test_switch_map.py
@@ -27,7 +27,7 @@
 
 
 def _run_random_switch(
-    seed: int, *, kill_at: int | None = None, tries: int = 4
+    seed: int, *, kill_at: int | None = None, planners: int = 4
 ) -> tuple[FakeGroup, str]:
     """Run a switch with random passes and late orders, followed by further planners."""
     rng = random.Random(seed)
@@ -64,7 +64,7 @@
         except _Killed:
             pass
         group.on_order = None
-        for fence in range(2, 2 + tries):
+        for fence in range(2, 2 + planners):
             for _ in range(rng.randint(0, 3)):
                 group.run_pass()
             reports = {r: await group.read_report(r) for r in range(RANKS)}
