--- a/dalehollow/gateway/planner.py
+++ b/dalehollow/gateway/planner.py
@@ -33,8 +33,8 @@
 MIN_SAMPLED_RANKS = 2
 TAKE_DELAY_S = 0.05
 MAX_TAKE_DELAYS = 20
-"""Gateways attempt to take a vacant duty in turn, in an order that differs by duty: most need not,
-and the duties of many groups are spread over many gateways."""
+"""Gateways attempt to take a vacant duty in turn, in an order that differs by duty. Most find it
+taken and make no attempt, and the duties of many groups are spread over many gateways."""
 PREPARE_ATTEMPTS = 4
 WINDOW_S = 0.3
 """Length of a demand window: some passes, with several requests at each rank."""
@@ -44,10 +44,10 @@
 """A longer window may mix old and new demand, and detects a shift too late."""
 
 PRESSED_FOR_S = 60.0
-"""The pressed terms apply for this time after a pause came near the limit. Counts show a demand
-shift 0.5 s to 1 s before passes do, since streams in flight end with the experts they began with.
-While no pause is near the limit the maps are good enough, and frequent rounds would cost 0.05 of
-the value of a day whose requests are served in time anyway."""
+"""The pressed terms of the policy apply for this time after a pause came near the limit. Counts
+show a demand shift 0.5 s to 1 s before passes do, since streams in flight end with the experts they
+began with. While no pause is near the limit the maps are good enough, and frequent rounds would
+cost 0.05 of the value of a day whose requests are served in time anyway."""
 SLOW_PACE = 1.5
 """A rank slower than usual by this factor gets no requests while other ranks have free slots."""
 MAX_SLOW_SHARE = 0.25
@@ -64,7 +64,7 @@
         """Return the fence of a duty, None unless it is known to be held by this gateway now."""
 
     async def acquire_duty(self, duty: str) -> bool:
-        """Try to take a vacant duty; return whether it was taken."""
+        """Attempt to take a vacant duty; return whether it was taken."""
 
     async def release_duty(self, duty: str, why: str) -> None:
         """Release a duty."""
@@ -80,7 +80,7 @@
     duty: str
     duties: Duties
     holder: Callable[[], str | None]
-    # Number of gateways that try to take the duty before this one.
+    # Number of gateways that attempt to take the duty before this one.
     count_predecessors: Callable[[], int]
     port: RankPort
     ranks: Callable[[], Mapping[int, str]]
@@ -120,7 +120,7 @@
         self.pass_times.on_slower = self._record_slower
 
     def stop(self) -> None:
-        """Stop planning; a switch in progress is completed, then the duty is released."""
+        """Stop planning; a switch that has begun is completed, then the duty is released."""
         self._is_stopping = True
         self._wake.set()
 
@@ -129,7 +129,7 @@
         self._stored_demand = [list(map(float, layer)) for layer in demand]
 
     async def run(self) -> None:
-        """Run planning rounds while the duty is held, and try to take it otherwise."""
+        """Run planning rounds while the duty is held, and attempt to take it otherwise."""
         while not self._is_stopping:
             await self._wait_for_round()
             fence = self.duties.fence(self.duty)
@@ -137,7 +137,7 @@
                 break
             if fence is None:
                 self._epoch = -1
-                await self._try_take_duty()
+                await self._attempt_to_take_duty()
             elif self.ranks():
                 await self._run_round(fence)
         await self.duties.release_duty(self.duty, "planned stop")
@@ -186,7 +186,7 @@
         self._round_requested = True
         self._wake.set()
 
-    async def _try_take_duty(self) -> None:
+    async def _attempt_to_take_duty(self) -> None:
         if self.holder() is not None or not self.ranks():
             return
         steps = min(MAX_TAKE_DELAYS, self.count_predecessors()) + self.rng.random()
@@ -210,13 +210,13 @@
         window_s = self._advance_window_s()
         known = self._window.demand or self._stored_demand
         if is_begun and known:
-            # The group starts with its initial map; the demand from before it broke still holds.
+            # The group starts with its initial map; the demand from before it broke is still valid.
             self._window.begin(read)
             await self._improve(fence, known)
             self._next_round_in_s = WINDOW_S
             return
         if window_s > LONGEST_WINDOW_S:
-            # Demand may have shifted since: start a new window.
+            # Demand may have shifted during a long window: start a new one.
             self._window.begin(read)
             self._next_round_in_s = WINDOW_S
             return
@@ -376,8 +376,8 @@
             log_event(_LOG, "paces_changed", duty=self.duty, paces=",".join(map(str, paces)))
         self._paces = paces
         if self._stored_slow_ranks != self._find_slow_ranks():
-            # Stored at once, without waiting for a plan: the requests sent to a rank are the larger
-            # part of its work.
+            # Stored at once, without waiting for a plan: the requests sent to a rank are the
+            # larger part of its work.
             await self._keep_plan(self._window.demand or self._stored_demand)
 
     async def _apply_map(self, planned: GroupMap, copy_s: float, fence: int) -> SwitchOutcome:
--- a/dalehollow/gateway/upstreams.py
+++ b/dalehollow/gateway/upstreams.py
@@ -172,7 +172,7 @@
         return {u.listed.group_key for u in self.of_service(service)}
 
     def record_untracked(self, incarnation: str, untracked: int, at_s: float) -> None:
-        """Record the number of requests that no gateway knows of, as another gateway found it."""
+        """Record the number of requests that no gateway tracks, as reported by another gateway."""
         known = self._known.get(incarnation)
         if known is not None:
             known.record_untracked(untracked, at_s)
