--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -361,6 +361,9 @@
         store.delete("servers/a")
         store.put("servers/b", _make_entry())
         await asyncio.sleep(0.1)
+        # A call that was chosen before the data counted as old must have failed too.
+        calls = len(store.calls)
+        await _wait_until(lambda: len(store.calls) > calls + 1)
         store.fault = "none"
         monkeypatch.setattr(contact, "EXPIRY_GRACE_S", 0.0)
         await _wait_until(lambda: set(recorded.upstreams) == {"b"})
